--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,17 @@
 BIN := bin/foxcroft
 
-.PHONY: build generate check-generated fmt vet lint test known-red race run measure
+GOPLS_VERSION := v0.23.0
+
+.PHONY: build gopls generate check-generated fmt vet lint test known-red race run measure
 
 build:
 	go build -o $(BIN) .
 
+# gopls installs the language server that renames identifiers (bin/gopls rename -w
+# FILE:LINE:COLUMN NAME). Later versions need a later Go.
+gopls:
+	GOBIN=$(CURDIR)/bin go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
 # generate needs protoc (Debian: protobuf-compiler); the build does not.
 generate:
 	go build -o bin/protoc-gen-go google.golang.org/protobuf/cmd/protoc-gen-go
