--- a/pkg/node/owner_kept.go
+++ b/pkg/node/owner_kept.go
@@ -12,7 +12,7 @@
 	// keepUnnoted is how long an owner answers for a kept job that has ended and whose
 	// keeper hasn't said that the end lasts: as long as the executors know of its tasks,
 	// and as long as for any job after that.
-	keepUnnoted = cell.UnnotedAfterEnd + keepOutcomes
+	keepUnnoted = cell.UnpersistedEndRetention + keepOutcomes
 	// keepCancelled is how long an owner refuses a kept job that was cancelled: a keeper
 	// that hands it over later has read its row since.
 	keepCancelled = 20 * time.Second
@@ -72,7 +72,7 @@
 				o.ended[id] = ended{outcome: known.outcome, until: now + keepOutcomes}
 			}
 		}
-		state.Noted(ids, now)
+		state.EndsPersisted(ids, now)
 	})
 	for _, tell := range told {
 		tell(cancelledHere)
--- a/pkg/node/owner_told.go
+++ b/pkg/node/owner_told.go
@@ -18,7 +18,7 @@
 	case m.Progress > 0:
 		o.do(func(state *cell.Cell, now time.Duration) {
 			for _, id := range m.Ids {
-				state.CheckpointNoted(id, int(m.Progress), now)
+				state.CheckpointPersisted(id, int(m.Progress), now)
 			}
 		})
 		return nil, true
@@ -39,7 +39,7 @@
 	var replies []reply
 	settled := false
 	o.do(func(state *cell.Cell, now time.Duration) {
-		if settled = !o.over && state.Settled(now); !settled {
+		if settled = !o.over && state.IsTakeoverComplete(now); !settled {
 			return
 		}
 		for _, id := range ids {
@@ -53,7 +53,7 @@
 			delete(o.waiters, id)
 			o.kept.drop(id)
 			state.Withdraw(id, reasonMoved, now)
-			state.Noted([]string{id}, now) // the row tells what has ended here
+			state.EndsPersisted([]string{id}, now) // the row tells what has ended here
 		}
 	})
 	for _, reply := range replies {
--- a/pkg/node/owner_told_test.go
+++ b/pkg/node/owner_told_test.go
@@ -66,6 +66,6 @@
 	defer o.mu.Unlock()
 	now := o.node.Clock.Now()
 	o.state.SetExecutors([]catalog.Executor{{ID: "i-1", Service: "s", Domain: "cell", Address: "127.0.0.1:1", Capacity: job.Resources{CPU: 1000}}}, now)
-	o.state.HoldAnswered("i-1", cell.HoldAnswer{Clock: time.Second, Running: []cell.RunningTask{{Task: task, Run: 1501}}}, now, now)
-	o.state.Take()
+	o.state.HoldAnswered("i-1", cell.HoldResponse{Clock: time.Second, Running: []cell.RunningTask{{Task: task, Run: 1501}}}, now, now)
+	o.state.TakeActions()
 }
--- a/pkg/node/pace.go
+++ b/pkg/node/pace.go
@@ -55,7 +55,7 @@
 func (n *Node) noticeCrowd() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.crowded = ownership.Crowded(n.claims.Owned(), n.settings.Domain)
+	n.crowded = ownership.IsShortOfCapacity(n.claims.Owned(), n.settings.Domain)
 }
 
 // noticeOwnerless has all links beat fast once a cell of this domain lacks an
--- a/pkg/node/params_test.go
+++ b/pkg/node/params_test.go
@@ -27,7 +27,7 @@
 			n := newTestNode(c, &fakeStore{})
 			n.settings.ResubmitAfter, n.settings.LongestHold, n.settings.StopTime, n.settings.SuspectAfter = s.resubmit, s.hold, s.stop, s.suspect
 			params := n.cellParams()
-			c.Assert(params.LongestHold <= s.hold, qt.IsTrue)
+			c.Assert(params.LongestLease <= s.hold, qt.IsTrue)
 			c.Assert(time.Duration(1.02*float64(params.Lease)) < s.resubmit, qt.IsTrue)
 			c.Assert(params.JobLease+s.stop < s.resubmit, qt.IsTrue)
 			c.Assert(n.settleTime() >= params.JobLease+s.stop, qt.IsTrue)
--- a/pkg/node/passing.go
+++ b/pkg/node/passing.go
@@ -178,7 +178,7 @@
 	}
 	passed := fromPassed(m)
 	n.listing.Lock()
-	news, missing := n.roster.TakePassed(passed)
+	news, missing := n.roster.ApplyRelayed(passed)
 	if news {
 		askedAt := time.Duration(unknownAge)
 		if current := n.executors.Load(); current != nil {
--- a/pkg/node/passing_test.go
+++ b/pkg/node/passing_test.go
@@ -85,7 +85,7 @@
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			n := nodeBeside(c, "z", s.ownMbps, 25)
-			n.roster.TakeWhole(&catalog.Executors{Revision: 1}, 0)
+			n.roster.ApplyFull(&catalog.Executors{Revision: 1}, 0)
 			n.publish(true, n.Clock.Now()-time.Hour)
 			n.passedAt.Store(int64(n.Clock.Now() - s.passedAgo))
 			if s.claimed {
@@ -99,13 +99,13 @@
 func TestPassedOnChangesAreTakenIn(t *testing.T) {
 	c := qt.New(t)
 	reader := nodeBeside(c, "z", 200, 2)
-	reader.roster.TakeWhole(&catalog.Executors{Revision: 10, ByID: map[string]catalog.Executor{"e": {ID: "e", Service: "s", Domain: "z", Address: "10.0.0.1:1", Capacity: job.Resources{CPU: 1}}}}, 0)
+	reader.roster.ApplyFull(&catalog.Executors{Revision: 10, ByID: map[string]catalog.Executor{"e": {ID: "e", Service: "s", Domain: "z", Address: "10.0.0.1:1", Capacity: job.Resources{CPU: 1}}}}, 0)
 	n := nodeBeside(c, "z", 2, 200)
 	n.takePassed(reader.executorsSince(0), otherAddress)
 	c.Assert(n.executors.Load().cells["z"], qt.HasLen, 1)
 	c.Assert(n.readerLost(), qt.IsFalse)
 
-	reader.roster.TakeChanges(&catalog.ExecutorChanges{Revision: 20, Gone: []string{"e"}, Listed: []catalog.Executor{{ID: "f", Service: "s", Domain: "z", Address: "10.0.0.2:1", Capacity: job.Resources{CPU: 1}}}})
+	reader.roster.ApplyChanges(&catalog.ExecutorChanges{Revision: 20, Removed: []string{"e"}, Listed: []catalog.Executor{{ID: "f", Service: "s", Domain: "z", Address: "10.0.0.2:1", Capacity: job.Resources{CPU: 1}}}})
 	n.takePassed(reader.executorsSince(n.executorsRevision()), otherAddress)
 	c.Assert(n.roster.Executors().ByID, qt.HasLen, 1)
 	c.Assert(n.roster.Executors().ByID["f"].ID, qt.Equals, "f")
--- a/pkg/node/ports.go
+++ b/pkg/node/ports.go
@@ -51,7 +51,7 @@
 type MemberChanges struct {
 	Position   uint64               // of the store's history, to go on from
 	Listed     []Member             // new or changed
-	Gone       []string             // names of nodes whose rows are gone
+	Removed    []string             // names of nodes whose rows are gone
 	Unreadable []catalog.Unreadable // they count as gone
 }
 
@@ -107,19 +107,19 @@
 	Token int64
 }
 
-// OrderAnswer is how an order to start or to stop a run went.
-type OrderAnswer struct {
+// CommandResult is how an order to start or to stop a run went.
+type CommandResult struct {
 	Verdict cell.Verdict
 	Clock   time.Duration // the executor's; 0 when not told
-	Told    string        // what an answer other than Accepted said, for logs
+	Message string        // what an answer other than Accepted said, for logs
 }
 
 // Executors carries orders to executors. The calls return within a time and
 // never fail: a call without an answer is a verdict too.
 type Executors interface {
-	Start(executor *catalog.Executor, order StartOrder, within time.Duration) OrderAnswer
-	Stop(executor *catalog.Executor, order StopOrder, within time.Duration) OrderAnswer
-	Hold(executor *catalog.Executor, order HoldOrder, within time.Duration) cell.HoldAnswer
+	Start(executor *catalog.Executor, order StartOrder, within time.Duration) CommandResult
+	Stop(executor *catalog.Executor, order StopOrder, within time.Duration) CommandResult
+	Hold(executor *catalog.Executor, order HoldOrder, within time.Duration) cell.HoldResponse
 }
 
 // Service is what an adapter's front may ask of the node.
--- a/pkg/node/rows.go
+++ b/pkg/node/rows.go
@@ -30,7 +30,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	view := n.ownershipView()
-	if 2*(len(view.Up)+1) < view.Known {
+	if 2*(len(view.Up)+1) < view.Expected {
 		return nil // it may be this node that is out of sight
 	}
 	up := map[string]bool{n.settings.PeerAddress: true}
--- a/pkg/node/rows_changes_test.go
+++ b/pkg/node/rows_changes_test.go
@@ -10,7 +10,7 @@
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
 	n.setRows([]Member{{Name: "a", Domain: "z", PeerAddress: "127.0.0.1:1"}, {Name: "b", Domain: "z"}})
-	rows := n.rowsWith(MemberChanges{Listed: []Member{{Name: "b", Domain: "y"}, {Name: "c"}}, Gone: []string{"a", "unknown"}})
+	rows := n.rowsWith(MemberChanges{Listed: []Member{{Name: "b", Domain: "y"}, {Name: "c"}}, Removed: []string{"a", "unknown"}})
 	byName := map[string]Member{}
 	for _, row := range rows {
 		byName[row.Name] = row
--- a/pkg/node/traffic.go
+++ b/pkg/node/traffic.go
@@ -33,7 +33,7 @@
 }
 
 // peerClasses are the classes of messages between nodes that are logged apart.
-var peerClasses = []peer.Class{peer.ClassForward, peer.ClassNews, peer.ClassControl}
+var peerClasses = []peer.Class{peer.ClassForward, peer.ClassSnapshot, peer.ClassControl}
 
 func (n *Node) trafficSnapshot() trafficSnapshot {
 	s := trafficSnapshot{at: n.Clock.Now()}
--- a/pkg/node/unreadable.go
+++ b/pkg/node/unreadable.go
@@ -59,11 +59,11 @@
 
 // noteAnswer counts the entries of an executor's answer that can't be read. The cell
 // logs when an executor begins to hide runs.
-func (n *Node) noteAnswer(answer cell.HoldAnswer) {
-	if answer.Hidden > 0 {
-		n.metrics.RowsUnreadable(tableOfAnswers, string(catalog.HiddenRun), answer.Hidden)
+func (n *Node) noteAnswer(answer cell.HoldResponse) {
+	if answer.UnreadableRuns > 0 {
+		n.metrics.RowsUnreadable(tableOfAnswers, string(catalog.HiddenRun), answer.UnreadableRuns)
 	}
-	if answer.Lost > 0 {
-		n.metrics.RowsUnreadable(tableOfAnswers, string(catalog.HiddenEnd), answer.Lost)
+	if answer.UnreadableEnds > 0 {
+		n.metrics.RowsUnreadable(tableOfAnswers, string(catalog.HiddenEnd), answer.UnreadableEnds)
 	}
 }
--- a/pkg/node/unreadable_test.go
+++ b/pkg/node/unreadable_test.go
@@ -50,7 +50,7 @@
 }
 
 func take(n *Node, changes *catalog.ExecutorChanges) {
-	n.takeReading(time.Second, func() (accepted, news bool) { return true, n.roster.TakeChanges(changes) })
+	n.takeReading(time.Second, func() (accepted, news bool) { return true, n.roster.ApplyChanges(changes) })
 }
 
 // Executors of services that the configuration doesn't name are none of this system;
@@ -59,7 +59,7 @@
 	c := qt.New(t)
 	n := nodeOfServices(c)
 	list := &catalog.Executors{Revision: 1, ByID: map[string]catalog.Executor{"a": callable("a", "s"), "bb": callable("bb", "x")}}
-	n.takeReading(0, func() (accepted, news bool) { return n.roster.TakeWhole(list, 0) })
+	n.takeReading(0, func() (accepted, news bool) { return n.roster.ApplyFull(list, 0) })
 	c.Assert(capacities(n), qt.DeepEquals, map[string]int64{"a": 1000, "bb": 1000}, qt.Commentf("nothing is known of services"))
 
 	n.configureServices(1, "s")
@@ -77,7 +77,7 @@
 	n := nodeOfServices(c)
 	n.configureServices(1, "s")
 	list := &catalog.Executors{Revision: 1, ByID: map[string]catalog.Executor{"a": callable("a", "s")}}
-	n.takeReading(0, func() (accepted, news bool) { return n.roster.TakeWhole(list, 0) })
+	n.takeReading(0, func() (accepted, news bool) { return n.roster.ApplyFull(list, 0) })
 	take(n, &catalog.ExecutorChanges{Revision: 2, Unreadable: []catalog.Unreadable{{Key: "a", Reason: catalog.NoDocument}}})
 	c.Assert(capacities(n), qt.DeepEquals, map[string]int64{"a": 0})
 	take(n, &catalog.ExecutorChanges{Revision: 3, Listed: []catalog.Executor{callable("a", "s")}})
@@ -89,11 +89,11 @@
 	c := qt.New(t)
 	reader, n := nodeBeside(c, "z", 200, 2), nodeBeside(c, "z", 2, 200)
 	list := &catalog.Executors{Revision: 1, ByID: map[string]catalog.Executor{"a": callable("a", "s")}}
-	reader.roster.TakeWhole(list, 0)
+	reader.roster.ApplyFull(list, 0)
 	n.takePassed(reader.executorsSince(0), otherAddress)
 	c.Assert(capacities(n), qt.DeepEquals, map[string]int64{"a": 1000})
 
-	reader.roster.TakeChanges(&catalog.ExecutorChanges{Revision: 2, Unreadable: []catalog.Unreadable{{Key: "a"}, {Key: "b"}}})
+	reader.roster.ApplyChanges(&catalog.ExecutorChanges{Revision: 2, Unreadable: []catalog.Unreadable{{Key: "a"}, {Key: "b"}}})
 	n.takePassed(reader.executorsSince(n.executorsRevision()), otherAddress)
 	c.Assert(capacities(n), qt.DeepEquals, map[string]int64{"a": 0})
 }
@@ -147,7 +147,7 @@
 	scenarios := []scenario{
 		{testName: "none"},
 		{testName: "a new row", changes: MemberChanges{Listed: []Member{{Name: "c"}}}, want: true},
-		{testName: "a row is gone", changes: MemberChanges{Gone: []string{"b"}}, want: true},
+		{testName: "a row is gone", changes: MemberChanges{Removed: []string{"b"}}, want: true},
 		{testName: "a host's row can't be read any more", changes: MemberChanges{Unreadable: []catalog.Unreadable{{Key: "b"}}}, want: true},
 		{testName: "the own row, before it was read", changes: MemberChanges{Unreadable: []catalog.Unreadable{{Key: "a"}}}, want: true},
 		{testName: "another writer's row", changes: MemberChanges{Unreadable: []catalog.Unreadable{{Key: "odd"}}}},
--- a/pkg/node/view.go
+++ b/pkg/node/view.go
@@ -13,7 +13,7 @@
 	hubs := n.members.HubTest(now)
 	view.Self.Weight = weightOf(view.Self, hubs)
 	for _, p := range n.members.View(n.inc).Peers {
-		host := ownership.Host{Address: p.Address, Domain: p.Domain, Leaving: p.Leaving, Weight: p.Weight, Heard: n.claims.Heard(p.Address)}
+		host := ownership.Host{Address: p.Address, Domain: p.Domain, Leaving: p.Leaving, Weight: p.Weight, HasReported: n.claims.HasReported(p.Address)}
 		host.Weight = weightOf(host, hubs)
 		view.Up = append(view.Up, host)
 		known[p.Address] = true
@@ -21,8 +21,8 @@
 	for _, address := range n.members.Expected(now) {
 		known[address] = true
 	}
-	view.Known = len(known)
-	view.Back = n.back
+	view.Expected = len(known)
+	view.Restarted = n.back
 	view.Listed = n.rowsRead
 	return view
 }
--- a/pkg/openjobs/explore_test.go
+++ b/pkg/openjobs/explore_test.go
@@ -58,17 +58,17 @@
 	h.process++
 	h.dead, h.startAt = false, h.world.now
 	h.open, h.ended = nil, nil
-	h.own, h.table = NewOwn(resubmit, settle), NewTable(settle)
+	h.own, h.table = NewLocalJobs(resubmit, settle), NewTable(settle)
 }
 
 // tell tells the others of the open job again and again.
 func (h *modelHost) tell() {
 	w := h.world
-	w.after(w.between(LookInterval/2, LookInterval), h.tell)
+	w.after(w.between(ScanInterval/2, ScanInterval), h.tell)
 	if h.dead {
 		return
 	}
-	batch := h.own.Batch(w.now)
+	batch := h.own.NextBatch(w.now)
 	if len(batch) == 0 {
 		return
 	}
@@ -93,28 +93,28 @@
 	}
 }
 
-func (h *modelHost) sendNews(to int, front Front, jobs []Told, passOn bool) {
+func (h *modelHost) sendNews(to int, front Front, jobs []Announcement, passOn bool) {
 	w := h.world
 	w.send(h.index, to, func() { w.hosts[to].takeNews(h, front, jobs, passOn) })
 }
 
-func (h *modelHost) takeNews(from *modelHost, front Front, jobs []Told, passOn bool) {
+func (h *modelHost) takeNews(from *modelHost, front Front, jobs []Announcement, passOn bool) {
 	w := h.world
 	if front.Address == h.address() {
 		return
 	}
-	h.table.Told(front, from.address(), jobs, passOn, w.now)
+	h.table.Record(front, from.address(), jobs, passOn, w.now)
 	h.passNews(from, front, jobs, passOn)
 	holder := w.hosts[hostOf(front)]
 	if len(jobs) == 0 || holder.open == nil || holder.front() != front {
 		return
 	}
-	if w.now+jobs[0].Left >= holder.open.deadline { // not news of an earlier sending there
+	if w.now+jobs[0].Remaining >= holder.open.deadline { // not news of an earlier sending there
 		holder.open.heard[h.key()] = true
 	}
 }
 
-func (h *modelHost) passNews(from *modelHost, front Front, jobs []Told, passOn bool) {
+func (h *modelHost) passNews(from *modelHost, front Front, jobs []Announcement, passOn bool) {
 	w := h.world
 	if !passOn {
 		return
@@ -127,15 +127,15 @@
 }
 
 func (h *modelHost) linkUp(other *modelHost) {
-	h.table.Up(other.address())
+	h.table.LinkUp(other.address())
 	if !h.seesMate(other) {
-		h.table.Back(h.world.now)
+		h.table.ResetLosses(h.world.now)
 	}
-	h.sendNews(other.index, h.front(), h.own.All(h.world.now), other.domain != h.domain)
+	h.sendNews(other.index, h.front(), h.own.Announced(h.world.now), other.domain != h.domain)
 	if other.domain != h.domain {
 		return
 	}
-	passed := h.table.ToPassOn(h.world.now)
+	passed := h.table.ToRelay(h.world.now)
 	byName := func(a, b Front) int { return strings.Compare(a.Address+a.Process, b.Address+b.Process) }
 	for _, front := range slices.SortedFunc(maps.Keys(passed), byName) { // the same in each play of a seed
 		if front.Address != other.address() {
@@ -162,7 +162,7 @@
 	}
 	open := &modelOpen{host: h, process: h.process, waiters: map[string]func(bool){name: answer}, heard: map[hostProcess]bool{}, deadline: h.world.now + exploreDeadline}
 	h.open = open
-	h.own.Opened(exploreID, h.world.now, h.world.now+exploreDeadline)
+	h.own.Add(exploreID, h.world.now, h.world.now+exploreDeadline)
 	h.world.after(exploreDeadline, func() {
 		if open.isOpen() {
 			open.end(false)
@@ -212,7 +212,7 @@
 // sight. Runs of it have ended. It goes on, unless the job has come again elsewhere.
 func (o *modelOpen) handOn() {
 	w := o.host.world
-	w.after(HearAgain, func() {
+	w.after(ResyncDelay, func() {
 		if !o.isOpen() {
 			return
 		}
@@ -225,7 +225,7 @@
 func (o *modelOpen) end(isDone bool) {
 	h := o.host
 	h.open = nil
-	told := h.own.Closed(exploreID)
+	told := h.own.Remove(exploreID)
 	if o.carry != nil {
 		o.carry.ends(h.renewedAt(), !isDone) // the withdrawal may be lost
 		if told {
@@ -252,8 +252,8 @@
 		switch {
 		case mayStart && h.aloneAt > 0: // no owner is in sight
 			w.after(askAgain, o.round)
-		case mayStart && o.hasAsked && w.now < h.backAt+HearAgain:
-			w.after(h.backAt+HearAgain-w.now, o.round)
+		case mayStart && o.hasAsked && w.now < h.backAt+ResyncDelay:
+			w.after(h.backAt+ResyncDelay-w.now, o.round)
 		case mayStart:
 			o.start()
 		default:
@@ -270,15 +270,15 @@
 			others = append(others, other.address())
 		}
 	}
-	o.askBy(entry, entry.Ways(others...), nil, func(replies []Reply) {
-		o.search.Heard(h.table, entry, replies, h.sightOf(entry.Front), w.isUp(h.index, index), w.now)
+	o.askBy(entry, entry.Contacts(others...), nil, func(replies []Reply) {
+		o.search.HandleReplies(h.table, entry, replies, h.sightOf(entry.Front), w.isUp(h.index, index), w.now)
 		o.askFor(entries[1:])
 	})
 }
 
 // sightOf returns what a host sees of a front's domain.
-func (h *modelHost) sightOf(front Front) Sight {
-	return Sight{Mate: front.Domain == h.domain && h.seesMate(h.world.hosts[hostOf(front)])}
+func (h *modelHost) sightOf(front Front) Vantage {
+	return Vantage{SameDomain: front.Domain == h.domain && h.seesMate(h.world.hosts[hostOf(front)])}
 }
 
 // askBy asks one way after the other until one settles the question.
@@ -353,15 +353,15 @@
 	}
 	switch open := h.open; {
 	case entry.Front.Process != fmt.Sprint(h.process):
-		answer(Reply{Verdict: NotOpen, OverAt: w.now + settle}, false)
+		answer(Reply{Verdict: NotOpen, RunsEndBy: w.now + settle}, false)
 	case open == nil:
-		answer(Reply{Verdict: NotOpen, OverAt: overAt}, false)
+		answer(Reply{Verdict: NotOpen, RunsEndBy: overAt}, false)
 	case open.carry != nil:
 		open.waiters[fmt.Sprint("host ", asker.index)] = func(ended bool) {
 			answer(Reply{Verdict: Busy}, ended)
 		}
-	case open.search.Yields(h.table, asker.front(), h.address(), asker.follows(), w.now):
-		answer(Reply{Verdict: Yields, OverAt: overAt}, false)
+	case open.search.ShouldYield(h.table, asker.front(), h.address(), asker.follows(), w.now):
+		answer(Reply{Verdict: Yields, RunsEndBy: overAt}, false)
 	default:
 		answer(Reply{Verdict: Busy}, false)
 	}
@@ -381,8 +381,8 @@
 		return
 	}
 	for _, known := range h.table.Find(exploreID, w.now) {
-		if known.Front == entry.Front && h.sightOf(entry.Front).Mate {
-			answer(Reply{Verdict: OutOfSight, OverAt: h.table.OverAt(known, w.now)}, false)
+		if known.Front == entry.Front && h.sightOf(entry.Front).SameDomain {
+			answer(Reply{Verdict: Unreachable, RunsEndBy: h.table.RunsEndBy(known, w.now)}, false)
 			return
 		}
 	}
--- a/pkg/openjobs/explore_world_test.go
+++ b/pkg/openjobs/explore_world_test.go
@@ -54,7 +54,7 @@
 	aloneAt time.Duration // since when it is cut off from its domain, where the owners of its jobs are; 0 when it isn't
 	backAt  time.Duration // when it was last so
 
-	own   *Own
+	own   *LocalJobs
 	table *Table
 	open  *modelOpen
 	ended *carry // the last job that others were told of
@@ -246,8 +246,8 @@
 		return
 	}
 	w.down[pair(a, b)] = true
-	w.hosts[a].table.Down(w.hosts[b].address(), w.now)
-	w.hosts[b].table.Down(w.hosts[a].address(), w.now)
+	w.hosts[a].table.LinkDown(w.hosts[b].address(), w.now)
+	w.hosts[b].table.LinkDown(w.hosts[a].address(), w.now)
 }
 
 func (w *world) connect(a, b int) {
--- a/pkg/openjobs/own.go
+++ b/pkg/openjobs/local_jobs.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Own are the jobs that a front holds open itself and may have to tell of. It is
+// LocalJobs are the jobs that a front holds open itself and may have to tell of. It is
 // not safe for concurrent use.
-type Own struct {
+type LocalJobs struct {
 	resubmitAfter time.Duration
 	settle        time.Duration // how long after its deadline runs of a job may go on
 	open          map[string]*ownJob
@@ -49,26 +49,26 @@
 	return j
 }
 
-// NewOwn makes it for a time after which callers send again, and one that runs of
+// NewLocalJobs makes it for a time after which callers send again, and one that runs of
 // a job may outlive its front's wait.
-func NewOwn(resubmitAfter, settle time.Duration) *Own {
-	return &Own{resubmitAfter: resubmitAfter, settle: settle, open: map[string]*ownJob{}}
+func NewLocalJobs(resubmitAfter, settle time.Duration) *LocalJobs {
+	return &LocalJobs{resubmitAfter: resubmitAfter, settle: settle, open: map[string]*ownJob{}}
 }
 
-// Opened takes that this front holds a job open from now on. One that ends before
+// Add takes that this front holds a job open from now on. One that ends before
 // it could come again is never told.
-func (o *Own) Opened(id string, received, deadline time.Duration) {
+func (o *LocalJobs) Add(id string, received, deadline time.Duration) {
 	if deadline <= received+o.resubmitAfter {
 		return
 	}
-	o.Closed(id)
+	o.Remove(id)
 	j := &ownJob{id: id, received: received, deadline: deadline}
 	o.open[id] = j
 	heap.Push(&o.untold, j)
 }
 
-// Closed takes that a job has ended here, and reports whether it had been told.
-func (o *Own) Closed(id string) bool {
+// Remove takes that a job has ended here, and reports whether it had been told.
+func (o *LocalJobs) Remove(id string) bool {
 	j := o.open[id]
 	if j == nil {
 		return false
@@ -78,14 +78,14 @@
 	return j.isTold
 }
 
-// Batch returns the jobs to tell of now, sorted by id. It is empty when there is
+// NextBatch returns the jobs to tell of now, sorted by id. It is empty when there is
 // no news, or when the last batch was a moment ago.
-func (o *Own) Batch(now time.Duration) []Told {
+func (o *LocalJobs) NextBatch(now time.Duration) []Announcement {
 	if o.lastBatch > 0 && now < o.lastBatch+tellPause {
 		return nil
 	}
-	age := TellAfter(o.resubmitAfter)
-	var batch []Told
+	age := AnnounceAfter(o.resubmitAfter)
+	var batch []Announcement
 	for len(o.untold) > 0 && now >= o.untold[0].received+age {
 		j := heap.Pop(&o.untold).(*ownJob)
 		if !j.isClosed {
@@ -99,9 +99,9 @@
 	return sorted(batch)
 }
 
-// All returns all that has been told, for a host that may not have heard it.
-func (o *Own) All(now time.Duration) []Told {
-	var all []Told
+// Announced returns all that has been told, for a host that may not have heard it.
+func (o *LocalJobs) Announced(now time.Duration) []Announcement {
+	var all []Announcement
 	for _, j := range o.open {
 		if j.isTold {
 			all = append(all, o.toldOf(j, now))
@@ -110,11 +110,11 @@
 	return sorted(all)
 }
 
-func (o *Own) toldOf(j *ownJob, now time.Duration) Told {
-	return Told{ID: j.id, Left: max(0, j.deadline-now) + o.settle}
+func (o *LocalJobs) toldOf(j *ownJob, now time.Duration) Announcement {
+	return Announcement{ID: j.id, Remaining: max(0, j.deadline-now) + o.settle}
 }
 
-func sorted(told []Told) []Told {
-	slices.SortFunc(told, func(a, b Told) int { return strings.Compare(a.ID, b.ID) })
+func sorted(told []Announcement) []Announcement {
+	slices.SortFunc(told, func(a, b Announcement) int { return strings.Compare(a.ID, b.ID) })
 	return told
 }
--- a/pkg/openjobs/openjobs.go
+++ b/pkg/openjobs/openjobs.go
@@ -15,13 +15,13 @@
 // A job comes again some time after the break of its first sending, which comes
 // after that was sent. Its news has to be everywhere by then:
 //
-//	TellAfter + LookInterval + tellPause + 2 x newsTransit + receiptLag = resubmission
+//	AnnounceAfter + ScanInterval + tellPause + 2 x newsTransit + receiptLag = resubmission
 //
 // The table test works the sum out. The lag is what is left for a first sending
 // that its front received late.
 const (
-	// LookInterval is how often a front looks for jobs to tell of, at most.
-	LookInterval = 100 * time.Millisecond
+	// ScanInterval is how often a front looks for jobs to tell of, at most.
+	ScanInterval = 100 * time.Millisecond
 	// tellPause is the least time between two batches: a batch costs a message to each
 	// host, whatever is in it.
 	tellPause = 200 * time.Millisecond
@@ -31,27 +31,27 @@
 	// receiptLag is how late a front may receive a first sending.
 	receiptLag = 100 * time.Millisecond
 	// tellMargin is what all of it takes.
-	tellMargin = LookInterval + tellPause + 2*newsTransit + receiptLag
+	tellMargin = ScanInterval + tellPause + 2*newsTransit + receiptLag
 )
 
-// HearAgain is how long a front that was out of sight, or stood still, waits before it
+// ResyncDelay is how long a front that was out of sight, or stood still, waits before it
 // hands on a job that may have come again meanwhile: until the others have dialled it
 // again, 0.3 s apart with a quarter of jitter, and told it what they hold open.
-const HearAgain = 450 * time.Millisecond
+const ResyncDelay = 450 * time.Millisecond
 
-// TellAfter returns how old a job has to be before its front tells of it: most
+// AnnounceAfter returns how old a job has to be before its front tells of it: most
 // jobs have ended by then, and cost nothing.
-func TellAfter(resubmitAfter time.Duration) time.Duration {
+func AnnounceAfter(resubmitAfter time.Duration) time.Duration {
 	return max(0, resubmitAfter-tellMargin)
 }
 
-// Told is what a front tells of a job.
-type Told struct {
-	ID   string
-	Left time.Duration // until no run of it can be alive any more
+// Announcement is what a front tells of a job.
+type Announcement struct {
+	ID        string
+	Remaining time.Duration // until no run of it can be alive any more
 }
 
-// Sight is what a host sees of a front's domain.
-type Sight struct {
-	Mate bool // it is of that domain itself, and sees others of it than the front, so that it isn't cut off
+// Vantage is what a host sees of a front's domain.
+type Vantage struct {
+	SameDomain bool // it is of that domain itself, and sees others of it than the front, so that it isn't cut off
 }
--- a/pkg/openjobs/openjobs_test.go
+++ b/pkg/openjobs/openjobs_test.go
@@ -28,17 +28,17 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			c.Assert(TellAfter(s.resubmit), qt.Equals, s.want)
-			known := TellAfter(s.resubmit) + LookInterval + tellPause + 2*newsTransit + receiptLag
+			c.Assert(AnnounceAfter(s.resubmit), qt.Equals, s.want)
+			known := AnnounceAfter(s.resubmit) + ScanInterval + tellPause + 2*newsTransit + receiptLag
 			c.Assert(known <= max(s.resubmit, tellMargin), qt.IsTrue)
 		})
 	}
 }
 
 // own makes own jobs with one that came at 1 s.
-func ownWith(deadline time.Duration) *Own {
-	o := NewOwn(resubmit, settle)
-	o.Opened("a", time.Second, deadline)
+func ownWith(deadline time.Duration) *LocalJobs {
+	o := NewLocalJobs(resubmit, settle)
+	o.Add("a", time.Second, deadline)
 	return o
 }
 
@@ -46,47 +46,47 @@
 	const deadline = 9 * time.Second
 	type scenario struct {
 		testName string
-		play     func() []Told
-		want     []Told
+		play     func() []Announcement
+		want     []Announcement
 	}
 	scenarios := []scenario{
-		{testName: "a young job: nothing", play: func() []Told { return ownWith(deadline).Batch(1799 * ms) }},
-		{testName: "one that may come again", play: func() []Told { return ownWith(deadline).Batch(1800 * ms) }, want: []Told{{ID: "a", Left: 7200*ms + settle}}},
-		{testName: "one that ends before it can come again: nothing", play: func() []Told { return ownWith(time.Second + resubmit).Batch(1800 * ms) }},
-		{testName: "one that has ended: nothing", play: func() []Told {
+		{testName: "a young job: nothing", play: func() []Announcement { return ownWith(deadline).NextBatch(1799 * ms) }},
+		{testName: "one that may come again", play: func() []Announcement { return ownWith(deadline).NextBatch(1800 * ms) }, want: []Announcement{{ID: "a", Remaining: 7200*ms + settle}}},
+		{testName: "one that ends before it can come again: nothing", play: func() []Announcement { return ownWith(time.Second + resubmit).NextBatch(1800 * ms) }},
+		{testName: "one that has ended: nothing", play: func() []Announcement {
 			o := ownWith(deadline)
-			o.Closed("a")
-			return o.Batch(1800 * ms)
+			o.Remove("a")
+			return o.NextBatch(1800 * ms)
 		}},
-		{testName: "nothing twice", play: func() []Told {
+		{testName: "nothing twice", play: func() []Announcement {
 			o := ownWith(deadline)
-			o.Batch(1800 * ms)
-			return o.Batch(2900 * ms)
+			o.NextBatch(1800 * ms)
+			return o.NextBatch(2900 * ms)
 		}},
-		{testName: "what comes a moment after a batch waits", play: func() []Told {
+		{testName: "what comes a moment after a batch waits", play: func() []Announcement {
 			o := ownWith(deadline)
-			o.Batch(1800 * ms)
-			o.Opened("b", 1050*ms, deadline)
-			return o.Batch(1999 * ms)
+			o.NextBatch(1800 * ms)
+			o.Add("b", 1050*ms, deadline)
+			return o.NextBatch(1999 * ms)
 		}},
-		{testName: "it comes with the next", play: func() []Told {
+		{testName: "it comes with the next", play: func() []Announcement {
 			o := ownWith(deadline)
-			o.Batch(1800 * ms)
-			o.Opened("c", 1050*ms, deadline)
-			o.Opened("b", 1050*ms, deadline)
-			return o.Batch(2000 * ms)
-		}, want: []Told{{ID: "b", Left: 7*time.Second + settle}, {ID: "c", Left: 7*time.Second + settle}}},
-		{testName: "a host that may not have heard is told all again", play: func() []Told {
+			o.NextBatch(1800 * ms)
+			o.Add("c", 1050*ms, deadline)
+			o.Add("b", 1050*ms, deadline)
+			return o.NextBatch(2000 * ms)
+		}, want: []Announcement{{ID: "b", Remaining: 7*time.Second + settle}, {ID: "c", Remaining: 7*time.Second + settle}}},
+		{testName: "a host that may not have heard is told all again", play: func() []Announcement {
 			o := ownWith(deadline)
-			o.Batch(1800 * ms)
-			o.Opened("b", 1050*ms, deadline)
-			return o.All(2 * time.Second)
-		}, want: []Told{{ID: "a", Left: 7*time.Second + settle}}},
-		{testName: "past its deadline runs may go on", play: func() []Told {
+			o.NextBatch(1800 * ms)
+			o.Add("b", 1050*ms, deadline)
+			return o.Announced(2 * time.Second)
+		}, want: []Announcement{{ID: "a", Remaining: 7*time.Second + settle}}},
+		{testName: "past its deadline runs may go on", play: func() []Announcement {
 			o := ownWith(3 * time.Second)
-			o.Batch(1800 * ms)
-			return o.All(4 * time.Second)
-		}, want: []Told{{ID: "a", Left: settle}}},
+			o.NextBatch(1800 * ms)
+			return o.Announced(4 * time.Second)
+		}, want: []Announcement{{ID: "a", Remaining: settle}}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -98,24 +98,24 @@
 func TestWhichJobsOthersWereToldOf(t *testing.T) {
 	c := qt.New(t)
 	o := ownWith(9 * time.Second)
-	c.Assert(o.Closed("a"), qt.IsFalse)
-	o.Opened("a", time.Second, 9*time.Second)
-	o.Batch(2 * time.Second)
-	c.Assert(o.Closed("a"), qt.IsTrue)
-	c.Assert(o.Closed("a"), qt.IsFalse)
+	c.Assert(o.Remove("a"), qt.IsFalse)
+	o.Add("a", time.Second, 9*time.Second)
+	o.NextBatch(2 * time.Second)
+	c.Assert(o.Remove("a"), qt.IsTrue)
+	c.Assert(o.Remove("a"), qt.IsFalse)
 }
 
 var (
 	front  = Front{Address: "front:1", Domain: "z1", Process: "p"}
 	other  = Front{Address: "other:1", Domain: "z2", Process: "p"}
-	seen   = Sight{Mate: true}
-	unseen = Sight{}
+	seen   = Vantage{SameDomain: true}
+	unseen = Vantage{}
 )
 
 // tableWith makes a table that has heard of a job from its front at 1 s.
 func tableWith(left time.Duration) *Table {
 	table := NewTable(settle)
-	table.Told(front, front.Address, []Told{{ID: "a", Left: left}}, false, time.Second)
+	table.Record(front, front.Address, []Announcement{{ID: "a", Remaining: left}}, false, time.Second)
 	return table
 }
 
@@ -124,19 +124,19 @@
 	table := tableWith(5 * time.Second)
 	c.Assert(table.Find("b", time.Second), qt.HasLen, 0)
 	c.Assert(table.Find("a", 6*time.Second), qt.HasLen, 0, qt.Commentf("it is over"))
-	table.Told(front, "teller:1", []Told{{ID: "a", Left: 4 * time.Second}}, false, time.Second)
-	table.Told(other, "teller:1", []Told{{ID: "a", Left: time.Second}}, false, time.Second)
+	table.Record(front, "teller:1", []Announcement{{ID: "a", Remaining: 4 * time.Second}}, false, time.Second)
+	table.Record(other, "teller:1", []Announcement{{ID: "a", Remaining: time.Second}}, false, time.Second)
 	found := table.Find("a", time.Second)
 	c.Assert(found, qt.HasLen, 2)
 	c.Assert(found[0].Front, qt.Equals, front)
-	c.Assert(found[0].Until, qt.Equals, 6*time.Second, qt.Commentf("older news takes nothing back"))
-	c.Assert(found[0].Ways("mate:1", "teller:1"), qt.DeepEquals, []string{"front:1", "teller:1", "mate:1"})
-	table.Closed("a", front, 2*time.Second, time.Second)
-	c.Assert(table.Find("a", time.Second)[0].Until, qt.Equals, 2*time.Second)
+	c.Assert(found[0].ExpiresAt, qt.Equals, 6*time.Second, qt.Commentf("older news takes nothing back"))
+	c.Assert(found[0].Contacts("mate:1", "teller:1"), qt.DeepEquals, []string{"front:1", "teller:1", "mate:1"})
+	table.MarkClosed("a", front, 2*time.Second, time.Second)
+	c.Assert(table.Find("a", time.Second)[0].ExpiresAt, qt.Equals, 2*time.Second)
 	c.Assert(table.Find("a", 2*time.Second), qt.HasLen, 0, qt.Commentf("both are over"))
-	table.Told(front, "teller:1", []Told{{ID: "a", Left: 4 * time.Second}}, false, time.Second)
-	c.Assert(table.Find("a", time.Second)[0].Until, qt.Equals, 5*time.Second, qt.Commentf("it has come to that front again"))
-	table.Closed("a", front, time.Second, time.Second)
+	table.Record(front, "teller:1", []Announcement{{ID: "a", Remaining: 4 * time.Second}}, false, time.Second)
+	c.Assert(table.Find("a", time.Second)[0].ExpiresAt, qt.Equals, 5*time.Second, qt.Commentf("it has come to that front again"))
+	table.MarkClosed("a", front, time.Second, time.Second)
 	found = table.Find("a", time.Second)
 	c.Assert(found, qt.HasLen, 1)
 	c.Assert(found[0].Front, qt.Equals, other)
@@ -145,13 +145,13 @@
 func TestTheTableIsBounded(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(settle)
-	var jobs []Told
+	var jobs []Announcement
 	for i := range mostEntries + 3 {
-		jobs = append(jobs, Told{ID: fmt.Sprint(i), Left: time.Minute})
+		jobs = append(jobs, Announcement{ID: fmt.Sprint(i), Remaining: time.Minute})
 	}
-	c.Assert(table.Told(front, front.Address, jobs, false, time.Second), qt.Equals, 3)
-	c.Assert(table.Told(front, front.Address, jobs[:1], false, time.Second), qt.Equals, 0, qt.Commentf("it is there already"))
-	c.Assert(table.Told(other, other.Address, jobs[:1], false, 62*time.Second), qt.Equals, 0, qt.Commentf("all others are over"))
+	c.Assert(table.Record(front, front.Address, jobs, false, time.Second), qt.Equals, 3)
+	c.Assert(table.Record(front, front.Address, jobs[:1], false, time.Second), qt.Equals, 0, qt.Commentf("it is there already"))
+	c.Assert(table.Record(other, other.Address, jobs[:1], false, 62*time.Second), qt.Equals, 0, qt.Commentf("all others are over"))
 	c.Assert(table.count, qt.Equals, 1)
 	c.Assert(table.byID, qt.HasLen, 1)
 }
@@ -165,31 +165,34 @@
 	}
 	scenarios := []scenario{
 		{testName: "a settle time after its link was lost", want: 2*time.Second + settle,
-			happens: func(table *Table) { table.Down(front.Address, 2*time.Second) }},
+			happens: func(table *Table) { table.LinkDown(front.Address, 2*time.Second) }},
 		{testName: "lost again: from the first time on", want: 2*time.Second + settle,
-			happens: func(table *Table) { table.Down(front.Address, 2*time.Second); table.Down(front.Address, 3*time.Second) }},
+			happens: func(table *Table) {
+				table.LinkDown(front.Address, 2*time.Second)
+				table.LinkDown(front.Address, 3*time.Second)
+			}},
 		{testName: "lost anew after it was back: from the last time on", want: 3*time.Second + settle,
 			happens: func(table *Table) {
-				table.Down(front.Address, 2*time.Second)
-				table.Up(front.Address)
-				table.Down(front.Address, 3*time.Second)
+				table.LinkDown(front.Address, 2*time.Second)
+				table.LinkUp(front.Address)
+				table.LinkDown(front.Address, 3*time.Second)
 			}},
 		{testName: "this host was cut off itself until later", want: 3*time.Second + settle,
-			happens: func(table *Table) { table.Down(front.Address, 2*time.Second); table.Back(3 * time.Second) }},
+			happens: func(table *Table) { table.LinkDown(front.Address, 2*time.Second); table.ResetLosses(3 * time.Second) }},
 		{testName: "it has answered by way of another host since", want: 3*time.Second + settle,
 			happens: func(table *Table) {
-				table.Down(front.Address, 2*time.Second)
-				table.Reached(front.Address, 3*time.Second)
+				table.LinkDown(front.Address, 2*time.Second)
+				table.ConfirmAlive(front.Address, 3*time.Second)
 			}},
-		{testName: "no link to it was ever up: from when that was noticed on", want: 4*time.Second + settle, happens: func(table *Table) { table.Reached(front.Address, 3*time.Second) }},
+		{testName: "no link to it was ever up: from when that was noticed on", want: 4*time.Second + settle, happens: func(table *Table) { table.ConfirmAlive(front.Address, 3*time.Second) }},
 		{testName: "never later than with its deadline", want: 6 * time.Second,
-			happens: func(table *Table) { table.Down(front.Address, 5*time.Second) }},
+			happens: func(table *Table) { table.LinkDown(front.Address, 5*time.Second) }},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			table := tableWith(left)
 			s.happens(table)
-			qt.Assert(t, table.OverAt(table.Find("a", time.Second)[0], 4*time.Second), qt.Equals, s.want)
+			qt.Assert(t, table.RunsEndBy(table.Find("a", time.Second)[0], 4*time.Second), qt.Equals, s.want)
 		})
 	}
 }
@@ -197,11 +200,11 @@
 func TestWhatIsPassedOn(t *testing.T) {
 	c := qt.New(t)
 	table := tableWith(5 * time.Second)
-	c.Assert(table.ToPassOn(2*time.Second), qt.HasLen, 0, qt.Commentf("the front tells this domain itself"))
-	table.Told(other, other.Address, []Told{{ID: "b", Left: 3 * time.Second}, {ID: "a", Left: 3 * time.Second}}, true, time.Second)
-	table.Told(other, "teller:1", []Told{{ID: "b", Left: 3 * time.Second}}, false, time.Second)
-	c.Assert(table.ToPassOn(2*time.Second), qt.DeepEquals, map[Front][]Told{other: {{ID: "a", Left: 2 * time.Second}, {ID: "b", Left: 2 * time.Second}}})
-	c.Assert(table.ToPassOn(4*time.Second), qt.HasLen, 0)
+	c.Assert(table.ToRelay(2*time.Second), qt.HasLen, 0, qt.Commentf("the front tells this domain itself"))
+	table.Record(other, other.Address, []Announcement{{ID: "b", Remaining: 3 * time.Second}, {ID: "a", Remaining: 3 * time.Second}}, true, time.Second)
+	table.Record(other, "teller:1", []Announcement{{ID: "b", Remaining: 3 * time.Second}}, false, time.Second)
+	c.Assert(table.ToRelay(2*time.Second), qt.DeepEquals, map[Front][]Announcement{other: {{ID: "a", Remaining: 2 * time.Second}, {ID: "b", Remaining: 2 * time.Second}}})
+	c.Assert(table.ToRelay(4*time.Second), qt.HasLen, 0)
 }
 
 func TestWhatComesAfterARoundOfASearch(t *testing.T) {
@@ -209,7 +212,7 @@
 	type scenario struct {
 		testName string
 		replies  []Reply
-		sight    Sight
+		sight    Vantage
 		isUp     bool
 		want     time.Duration
 		mayStart bool
@@ -223,11 +226,11 @@
 		{testName: "the front lives: it is asked again", replies: []Reply{{Verdict: Busy}}, sight: seen, want: now + askAgain, kept: true},
 		{testName: "its link is up, the call failed", replies: []Reply{{Verdict: Unanswered}}, isUp: true, sight: seen, want: now + askAgain, kept: true},
 		{testName: "out of sight", sight: seen, want: now + askAgain, kept: true},
-		{testName: "out of sight of one of its domain, for long", replies: []Reply{{OutOfSight, now, now}}, want: now, mayStart: true, kept: true},
-		{testName: "the same, for a moment less", replies: []Reply{{OutOfSight, now, now + ms}}, want: now + ms, kept: true},
-		{testName: "the same, said too long ago", replies: []Reply{{OutOfSight, now - replyLife - ms, now}}, want: now + askAgain, kept: true},
-		{testName: "the last one to lose it counts", replies: []Reply{{OutOfSight, now, now}, {OutOfSight, now, now + ms}}, want: now + ms, kept: true},
-		{testName: "also when that is this host", replies: []Reply{{OutOfSight, now, now}}, sight: seen, want: now + askAgain, kept: true},
+		{testName: "out of sight of one of its domain, for long", replies: []Reply{{Unreachable, now, now}}, want: now, mayStart: true, kept: true},
+		{testName: "the same, for a moment less", replies: []Reply{{Unreachable, now, now + ms}}, want: now + ms, kept: true},
+		{testName: "the same, said too long ago", replies: []Reply{{Unreachable, now - replyLife - ms, now}}, want: now + askAgain, kept: true},
+		{testName: "the last one to lose it counts", replies: []Reply{{Unreachable, now, now}, {Unreachable, now, now + ms}}, want: now + ms, kept: true},
+		{testName: "also when that is this host", replies: []Reply{{Unreachable, now, now}}, sight: seen, want: now + askAgain, kept: true},
 		{testName: "nobody of its domain in sight: it may be cut off, and go on serving", replies: []Reply{{Verdict: Unanswered}}, want: now + askAgain, kept: true},
 	}
 	for _, s := range scenarios {
@@ -235,7 +238,7 @@
 			c := qt.New(t)
 			table := tableWith(5 * time.Second)
 			search := NewSearch("a", 0)
-			search.Heard(table, search.Round(table, now)[0], s.replies, s.sight, s.isUp, now)
+			search.HandleReplies(table, search.Round(table, now)[0], s.replies, s.sight, s.isUp, now)
 			at, mayStart := search.Next(table, now)
 			c.Assert(at, qt.Equals, s.want)
 			c.Assert(mayStart, qt.Equals, s.mayStart)
@@ -267,9 +270,9 @@
 			table := tableWith(5 * time.Second)
 			search := NewSearch("a", 0)
 			entry := search.Round(table, time.Second)[0]
-			c.Assert(search.Yields(table, s.asker, s.self, s.follows, time.Second), qt.Equals, s.want)
+			c.Assert(search.ShouldYield(table, s.asker, s.self, s.follows, time.Second), qt.Equals, s.want)
 			// An answer that it gave before is old.
-			search.Heard(table, entry, []Reply{{NotOpen, time.Second, time.Second}}, seen, true, time.Second)
+			search.HandleReplies(table, entry, []Reply{{NotOpen, time.Second, time.Second}}, seen, true, time.Second)
 			_, mayStart := search.Next(table, time.Second)
 			c.Assert(mayStart, qt.Equals, !s.want)
 			c.Assert(len(search.Round(table, time.Second)) == 1, qt.Equals, s.want, qt.Commentf("it is asked again"))
@@ -284,7 +287,7 @@
 	table := tableWith(20 * time.Second)
 	search := NewSearch("a", 0)
 	round := func(isUp bool, now time.Duration) bool {
-		search.Heard(table, search.Round(table, now)[0], nil, seen, isUp, now)
+		search.HandleReplies(table, search.Round(table, now)[0], nil, seen, isUp, now)
 		_, mayStart := search.Next(table, now)
 		return !mayStart
 	}
@@ -300,10 +303,10 @@
 func TestJobsOfADomainThatIsOutOfSightAreNotStarted(t *testing.T) {
 	c := qt.New(t)
 	table := tableWith(5 * time.Second)
-	table.Down(front.Address, time.Second)
+	table.LinkDown(front.Address, time.Second)
 	search := NewSearch("a", 0)
 	for now := time.Second; now < 6*time.Second; now += askAgain {
-		search.Heard(table, search.Round(table, now)[0], nil, unseen, false, now)
+		search.HandleReplies(table, search.Round(table, now)[0], nil, unseen, false, now)
 		_, mayStart := search.Next(table, now)
 		c.Assert(mayStart, qt.IsFalse)
 	}
@@ -318,8 +321,8 @@
 	table := tableWith(20 * time.Second)
 	search := NewSearch("a", 0)
 	first := search.Round(table, time.Second)
-	table.Told(other, other.Address, []Told{{ID: "a", Left: 9 * time.Second}}, false, time.Second)
-	search.Heard(table, first[0], []Reply{{NotOpen, time.Second, time.Second}}, seen, true, time.Second)
+	table.Record(other, other.Address, []Announcement{{ID: "a", Remaining: 9 * time.Second}}, false, time.Second)
+	search.HandleReplies(table, first[0], []Reply{{NotOpen, time.Second, time.Second}}, seen, true, time.Second)
 	at, mayStart := search.Next(table, 2*time.Second)
 	c.Assert(at, qt.Equals, 2*time.Second)
 	c.Assert(mayStart, qt.IsFalse)
@@ -345,8 +348,8 @@
 	c := qt.New(t)
 	table := tableWith(5 * time.Second)
 	first := NewSearch("a", 0)
-	first.Heard(table, first.Round(table, time.Second)[0], []Reply{{NotOpen, time.Second, 2 * time.Second}}, seen, true, time.Second)
-	c.Assert(first.Yields(table, front, "zone:1", true, time.Second), qt.IsFalse, qt.Commentf("it wouldn't be asked again"))
+	first.HandleReplies(table, first.Round(table, time.Second)[0], []Reply{{NotOpen, time.Second, 2 * time.Second}}, seen, true, time.Second)
+	c.Assert(first.ShouldYield(table, front, "zone:1", true, time.Second), qt.IsFalse, qt.Commentf("it wouldn't be asked again"))
 	next := NewSearch("a", 0)
 	c.Assert(next.Round(table, time.Second), qt.HasLen, 0, qt.Commentf("nobody is asked again"))
 	at, mayStart := next.Next(table, time.Second)
@@ -360,10 +363,10 @@
 	c := qt.New(t)
 	table := tableWith(time.Second + ms)
 	search := NewSearch("a", 0)
-	search.Heard(table, search.Round(table, now)[0], []Reply{{Verdict: Busy}}, seen, true, now)
+	search.HandleReplies(table, search.Round(table, now)[0], []Reply{{Verdict: Busy}}, seen, true, now)
 	c.Assert(search.Round(table, now+askAgain), qt.HasLen, 1)
 	c.Assert(search.Round(table, now+settle), qt.HasLen, 0)
 	table = tableWith(time.Second + ms)
-	c.Assert(search.Yields(table, front, "zone:1", false, now), qt.IsTrue)
+	c.Assert(search.ShouldYield(table, front, "zone:1", false, now), qt.IsTrue)
 	c.Assert(search.Round(table, now+askAgain), qt.HasLen, 1, qt.Commentf("also one that was let go first"))
 }
--- a/pkg/openjobs/search.go
+++ b/pkg/openjobs/search.go
@@ -10,7 +10,7 @@
 const askAgain = 100 * time.Millisecond
 
 // replyLife is how long it counts that a host has lost a front. Another one that is asked
-// meanwhile may hang, and the front may be back: it goes on after HearAgain, which is more.
+// meanwhile may hang, and the front may be back: it goes on after ResyncDelay, which is more.
 const replyLife = 200 * time.Millisecond
 
 // Verdict is what came of asking a host for a front.
@@ -18,18 +18,18 @@
 
 // The verdicts. Where the job has ended there is none: the search is over.
 const (
-	Unanswered Verdict = iota
-	NotOpen            // the front doesn't hold the job open
-	OutOfSight         // the host is of the front's domain, and has lost it too
-	Yields             // the front searches too, and lets the asker go first
-	Busy               // the front lives, and is to be asked again
+	Unanswered  Verdict = iota
+	NotOpen             // the front doesn't hold the job open
+	Unreachable         // the host is of the front's domain, and has lost it too
+	Yields              // the front searches too, and lets the asker go first
+	Busy                // the front lives, and is to be asked again
 )
 
 // Reply is the answer of one host.
 type Reply struct {
-	Verdict Verdict
-	At      time.Duration
-	OverAt  time.Duration // no run of the job can be alive then, for NotOpen, Yields and OutOfSight
+	Verdict   Verdict
+	At        time.Duration
+	RunsEndBy time.Duration // no run of the job can be alive then, for NotOpen, Yields and Unreachable
 }
 
 // Search looks for the front that holds an earlier sending of a job open, in rounds
@@ -59,7 +59,7 @@
 	for _, e := range t.Find(s.id, now) {
 		if e.closed {
 			s.heard[e.Front] = true
-			s.settledAt = max(s.settledAt, e.Until)
+			s.settledAt = max(s.settledAt, e.ExpiresAt)
 			continue
 		}
 		asked = append(asked, e)
@@ -67,29 +67,29 @@
 	return asked
 }
 
-// Heard takes what asking for a front has brought, by all ways up to the first that
+// HandleReplies takes what asking for a front has brought, by all ways up to the first that
 // settled it. isUp says that the link to the front itself is up. Of several hosts that
 // have lost the front the last one to do so counts: the others may have been cut off
 // from it while it was well.
-func (s *Search) Heard(t *Table, e Entry, replies []Reply, sight Sight, isUp bool, now time.Duration) {
+func (s *Search) HandleReplies(t *Table, e Entry, replies []Reply, sight Vantage, isUp bool, now time.Duration) {
 	s.heard[e.Front] = true
 	if slices.ContainsFunc(replies, func(r Reply) bool { return r.Verdict == Busy }) {
 		t.prolong(e.ID, e.Front, now)
 	}
 	if known := t.entry(e.ID, e.Front); known != nil {
-		e.Until = known.Until // it may have told more while it was asked
+		e.ExpiresAt = known.ExpiresAt // it may have told more while it was asked
 	}
 	overAt := time.Duration(0)
 	for _, reply := range replies {
 		switch reply.Verdict {
 		case NotOpen, Yields:
 			if reply.Verdict == NotOpen && !s.yielded[e.Front.Address] {
-				t.Closed(e.ID, e.Front, reply.OverAt, now)
+				t.MarkClosed(e.ID, e.Front, reply.RunsEndBy, now)
 			}
-			s.settledAt = max(s.settledAt, reply.OverAt)
+			s.settledAt = max(s.settledAt, reply.RunsEndBy)
 			return
-		case OutOfSight:
-			overAt = max(overAt, reply.OverAt)
+		case Unreachable:
+			overAt = max(overAt, reply.RunsEndBy)
 			isUp = isUp || now > reply.At+replyLife
 		case Busy:
 			isUp = true
@@ -97,19 +97,19 @@
 	}
 	if isUp {
 		delete(s.noticed, e.Front)
-		s.unheard = max(s.unheard, e.Until)
+		s.unheard = max(s.unheard, e.ExpiresAt)
 		return
 	}
 	if _, noted := s.noticed[e.Front]; !noted {
 		s.noticed[e.Front] = now
 	}
-	if sight.Mate {
-		overAt = max(overAt, t.OverAt(e, s.noticed[e.Front]))
+	if sight.SameDomain {
+		overAt = max(overAt, t.RunsEndBy(e, s.noticed[e.Front]))
 	}
 	if overAt == 0 { // nobody can tell a front that is gone from a domain that is cut off
-		overAt = e.Until
+		overAt = e.ExpiresAt
 	}
-	s.unheard = max(s.unheard, min(overAt, e.Until))
+	s.unheard = max(s.unheard, min(overAt, e.ExpiresAt))
 }
 
 // Next reports whether the job may start after a round, and otherwise when the next
@@ -129,11 +129,11 @@
 	return now, true
 }
 
-// Yields decides whether this search, about which another front asks that looks for the
+// ShouldYield decides whether this search, about which another front asks that looks for the
 // job too, lets that one go first: it does when it knows of that one, and so is going to
 // ask it again before it starts the job. One that follows the job already always goes
 // first.
-func (s *Search) Yields(t *Table, asker Front, self string, follows bool, now time.Duration) bool {
+func (s *Search) ShouldYield(t *Table, asker Front, self string, follows bool, now time.Duration) bool {
 	isAsker := func(e Entry) bool {
 		return !e.closed && e.Front.Address == asker.Address && e.Front.Process == asker.Process
 	}
--- a/pkg/openjobs/table.go
+++ b/pkg/openjobs/table.go
@@ -9,7 +9,7 @@
 
 const (
 	// mostEntries bounds the table: 30 MB of it at some 450 bytes each. Jobs that
-	// are older than TellAfter are few; those beyond are not noted, and could run
+	// are older than AnnounceAfter are few; those beyond are not noted, and could run
 	// twice at once as if nobody had told of them.
 	mostEntries = 1 << 16
 	// sweepInterval is how often entries that are over are taken out.
@@ -25,12 +25,12 @@
 
 // Entry is a job that another front holds open, as far as is known here.
 type Entry struct {
-	ID      string
-	Front   Front
-	Until   time.Duration // no run of it can be alive then
-	closed  bool          // the front holds it open no more
-	passOn  bool          // other hosts of this domain hear of it from this one
-	tellers []string      // hosts that told of it, the front among them when it did
+	ID        string
+	Front     Front
+	ExpiresAt time.Duration // no run of it can be alive then
+	closed    bool          // the front holds it open no more
+	passOn    bool          // other hosts of this domain hear of it from this one
+	tellers   []string      // hosts that told of it, the front among them when it did
 }
 
 // Table are the jobs that other fronts hold open. It is not safe for concurrent use.
@@ -48,8 +48,8 @@
 	return &Table{settle: settle, byID: map[string][]*Entry{}, lost: map[string]time.Duration{}}
 }
 
-// Told takes what a host told of the jobs of a front, and returns how many found no room.
-func (t *Table) Told(front Front, teller string, jobs []Told, passOn bool, now time.Duration) (dropped int) {
+// Record takes what a host told of the jobs of a front, and returns how many found no room.
+func (t *Table) Record(front Front, teller string, jobs []Announcement, passOn bool, now time.Duration) (dropped int) {
 	t.sweep(now)
 	for _, job := range jobs {
 		if !t.note(front, teller, job, passOn, now) {
@@ -59,7 +59,7 @@
 	return dropped
 }
 
-func (t *Table) note(front Front, teller string, job Told, passOn bool, now time.Duration) bool {
+func (t *Table) note(front Front, teller string, job Announcement, passOn bool, now time.Duration) bool {
 	e := t.entry(job.ID, front)
 	if e == nil {
 		if t.count >= mostEntries {
@@ -70,9 +70,9 @@
 		t.count++
 	}
 	if e.closed {
-		e.closed, e.Until = false, 0
+		e.closed, e.ExpiresAt = false, 0
 	}
-	e.Until = max(e.Until, now+job.Left)
+	e.ExpiresAt = max(e.ExpiresAt, now+job.Remaining)
 	e.passOn = e.passOn || passOn
 	if !slices.Contains(e.tellers, teller) {
 		e.tellers = append(e.tellers, teller)
@@ -94,7 +94,7 @@
 func (t *Table) Find(id string, now time.Duration) []Entry {
 	var found []Entry
 	for _, e := range t.byID[id] {
-		if now < e.Until {
+		if now < e.ExpiresAt {
 			found = append(found, *e)
 		}
 	}
@@ -108,16 +108,16 @@
 // job open: it may have come there once more since the front last told of it.
 func (t *Table) prolong(id string, front Front, now time.Duration) {
 	if e := t.entry(id, front); e != nil {
-		e.Until = max(e.Until, now+t.settle)
+		e.ExpiresAt = max(e.ExpiresAt, now+t.settle)
 	}
 }
 
-// Closed takes that a front doesn't hold a job open, and that no run of it can be alive
+// MarkClosed takes that a front doesn't hold a job open, and that no run of it can be alive
 // at a time.
-func (t *Table) Closed(id string, front Front, overAt, now time.Duration) {
+func (t *Table) MarkClosed(id string, front Front, overAt, now time.Duration) {
 	if e := t.entry(id, front); e != nil && now < overAt {
 		e.closed = true
-		e.Until = overAt
+		e.ExpiresAt = overAt
 		return
 	}
 	t.keep(id, func(e *Entry) bool { return e.Front != front })
@@ -130,7 +130,7 @@
 	}
 	t.swept = now
 	for id := range t.byID {
-		t.keep(id, func(e *Entry) bool { return now < e.Until })
+		t.keep(id, func(e *Entry) bool { return now < e.ExpiresAt })
 	}
 	maps.DeleteFunc(t.lost, func(_ string, at time.Duration) bool { return now >= at+lostLife })
 }
@@ -151,34 +151,34 @@
 // that is noticed anew, which only makes a job wait.
 const lostLife = time.Minute
 
-// Down takes that the link to a host is lost.
-func (t *Table) Down(address string, now time.Duration) {
+// LinkDown takes that the link to a host is lost.
+func (t *Table) LinkDown(address string, now time.Duration) {
 	if _, noted := t.lost[address]; !noted {
 		t.lost[address] = now
 	}
 }
 
-// Up takes that the link to a host is up.
-func (t *Table) Up(address string) { delete(t.lost, address) }
+// LinkUp takes that the link to a host is up.
+func (t *Table) LinkUp(address string) { delete(t.lost, address) }
 
-// Back takes that this host had been cut off from its domain, or stood still, until now.
+// ResetLosses takes that this host had been cut off from its domain, or stood still, until now.
 // Whom it lost meanwhile may have been well.
-func (t *Table) Back(now time.Duration) {
+func (t *Table) ResetLosses(now time.Duration) {
 	for address := range t.lost {
 		t.lost[address] = now
 	}
 }
 
-// Reached takes that a front has answered by way of another host: it lives.
-func (t *Table) Reached(address string, now time.Duration) {
+// ConfirmAlive takes that a front has answered by way of another host: it lives.
+func (t *Table) ConfirmAlive(address string, now time.Duration) {
 	if _, noted := t.lost[address]; noted {
 		t.lost[address] = now
 	}
 }
 
-// Ways returns the hosts to ask for a front, in order: itself, those that told of its
+// Contacts returns the hosts to ask for a front, in order: itself, those that told of its
 // job, and others that may reach it.
-func (e *Entry) Ways(others ...string) []string {
+func (e *Entry) Contacts(others ...string) []string {
 	ways := []string{e.Front.Address}
 	for _, way := range slices.Concat(e.tellers, others) {
 		if !slices.Contains(ways, way) {
@@ -188,26 +188,26 @@
 	return ways
 }
 
-// OverAt returns when no run of a job can be alive any more whose front is lost, as was
+// RunsEndBy returns when no run of a job can be alive any more whose front is lost, as was
 // noticed at a time. Only a host of the front's own domain can say: it takes the front for
 // dead, or cut off from the owners that it renewed leases at. To others the front may
 // be out of sight because its domain is cut off and goes on serving.
-func (t *Table) OverAt(e Entry, noticed time.Duration) time.Duration {
+func (t *Table) RunsEndBy(e Entry, noticed time.Duration) time.Duration {
 	lostAt, noted := t.lost[e.Front.Address]
 	if !noted {
 		lostAt = noticed
 	}
-	return min(e.Until, lostAt+t.settle)
+	return min(e.ExpiresAt, lostAt+t.settle)
 }
 
-// ToPassOn returns what is known of jobs that other hosts of this domain hear of
+// ToRelay returns what is known of jobs that other hosts of this domain hear of
 // from this one, by front, for a host that may not have heard it.
-func (t *Table) ToPassOn(now time.Duration) map[Front][]Told {
-	byFront := map[Front][]Told{}
+func (t *Table) ToRelay(now time.Duration) map[Front][]Announcement {
+	byFront := map[Front][]Announcement{}
 	for id, entries := range t.byID {
 		for _, e := range entries {
-			if e.passOn && !e.closed && now < e.Until {
-				byFront[e.Front] = append(byFront[e.Front], Told{ID: id, Left: e.Until - now})
+			if e.passOn && !e.closed && now < e.ExpiresAt {
+				byFront[e.Front] = append(byFront[e.Front], Announcement{ID: id, Remaining: e.ExpiresAt - now})
 			}
 		}
 	}
--- a/pkg/ownership/choose.go
+++ b/pkg/ownership/choose.go
@@ -46,9 +46,9 @@
 // be expected to stay there.
 const roomyShare = 0.15
 
-// Crowded reports whether jobs of a domain may soon have to go to others: work
+// IsShortOfCapacity reports whether jobs of a domain may soon have to go to others: work
 // waits there, or little room is left.
-func Crowded(claims []Claim, domain string) bool {
+func IsShortOfCapacity(claims []Claim, domain string) bool {
 	var free, capacity int64
 	for _, claim := range claims {
 		if DomainOf(claim.Cell) != domain {
--- a/pkg/ownership/choose_test.go
+++ b/pkg/ownership/choose_test.go
@@ -25,7 +25,7 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			qt.Assert(t, Crowded(s.claims, "here"), qt.Equals, s.want)
+			qt.Assert(t, IsShortOfCapacity(s.claims, "here"), qt.Equals, s.want)
 		})
 	}
 }
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -40,19 +40,19 @@
 
 // Host is what the decision needs to know of a host.
 type Host struct {
-	Address string
-	Domain  string
-	Leaving bool
-	Weight  int  // thousandths of a core that it may use; 0 when not told
-	Heard   bool // it has told which cells it owns
+	Address     string
+	Domain      string
+	Leaving     bool
+	Weight      int  // thousandths of a core that it may use; 0 when not told
+	HasReported bool // it has told which cells it owns
 }
 
 // View is what a host sees when it decides.
 type View struct {
-	Self  Host
-	Up    []Host // other hosts whose links are up
-	Known int    // hosts that should be there, this one included
-	Back  bool   // this host had a row before it started, so the others have theirs too
+	Self      Host
+	Up        []Host // other hosts whose links are up
+	Expected  int    // hosts that should be there, this one included
+	Restarted bool   // this host had a row before it started, so the others have theirs too
 	// Listed tells that this host has read the rows, so that it knows whom it
 	// should see.
 	Listed bool
@@ -108,8 +108,8 @@
 	return &Table{limits: limits, started: now, claims: map[string]map[string]Claim{}, heard: map[string]bool{}, cells: map[string]*cellState{}}
 }
 
-// Heard reports whether a host that is seen has told its claims.
-func (t *Table) Heard(owner string) bool { return t.heard[owner] }
+// HasReported reports whether a host that is seen has told its claims.
+func (t *Table) HasReported(owner string) bool { return t.heard[owner] }
 
 // SetClaims takes all claims of a host, and reports whether it claims other
 // cells than before or has become able or unable to serve one.
@@ -119,7 +119,7 @@
 		return false // as of most hosts, with each heartbeat
 	}
 	changed := t.differs(owner, claims)
-	t.Drop(owner)
+	t.Forget(owner)
 	t.heard[owner] = true
 	for _, claim := range claims {
 		claim.Owner = owner
@@ -152,8 +152,8 @@
 	return false
 }
 
-// Drop forgets the claims of a host that isn't seen any more.
-func (t *Table) Drop(owner string) {
+// Forget forgets the claims of a host that isn't seen any more.
+func (t *Table) Forget(owner string) {
 	delete(t.heard, owner)
 	t.standing = nil
 	for _, byOwner := range t.claims {
@@ -265,7 +265,7 @@
 	if view.Self.Leaving || t.tooEarly(view, now) || now < state.noClaim {
 		return false
 	}
-	isolated := 2*(len(view.Up)+1) < view.Known
+	isolated := 2*(len(view.Up)+1) < view.Expected
 	if inside {
 		return t.first(cell, view.Self, domainHosts) && (!isolated || now >= state.ownerless+t.limits.Isolated)
 	}
@@ -281,9 +281,9 @@
 	case age >= t.limits.Start:
 		return knowsNobody(view) && age < t.limits.Alone
 	case allHeard(view):
-		return !view.Back && age < t.limits.Rows
+		return !view.Restarted && age < t.limits.Rows
 	}
-	return !view.Back || age < t.limits.Most || !mostHeard(view)
+	return !view.Restarted || age < t.limits.Most || !mostHeard(view)
 }
 
 // knowsNobody reports whether a host can't tell if its domain has other hosts: it
@@ -322,18 +322,18 @@
 // allHeard reports whether every host that should be there has told which
 // cells it owns.
 func allHeard(view View) bool {
-	return seenHeard(view) && view.Known > 1 && len(view.Up)+1 >= view.Known
+	return seenHeard(view) && view.Expected > 1 && len(view.Up)+1 >= view.Expected
 }
 
 // mostHeard reports whether more than half of the hosts that should be there
 // are seen, and all that are seen have told which cells they own.
 func mostHeard(view View) bool {
-	return seenHeard(view) && len(view.Up) > 0 && 2*(len(view.Up)+1) > view.Known
+	return seenHeard(view) && len(view.Up) > 0 && 2*(len(view.Up)+1) > view.Expected
 }
 
 // seenHeard reports whether all hosts that are seen have told their cells.
 func seenHeard(view View) bool {
-	return !slices.ContainsFunc(view.Up, func(host Host) bool { return !host.Heard })
+	return !slices.ContainsFunc(view.Up, func(host Host) bool { return !host.HasReported })
 }
 
 func hostsOf(view View, domain string) []Host {
--- a/pkg/ownership/ownership_test.go
+++ b/pkg/ownership/ownership_test.go
@@ -14,7 +14,7 @@
 )
 
 func host(address, domain string) Host {
-	return Host{Address: address, Domain: domain, Weight: 400, Heard: true}
+	return Host{Address: address, Domain: domain, Weight: 400, HasReported: true}
 }
 
 func claimOf(owner string, token int64) []Claim { return []Claim{{Cell: domain, Token: token}} }
@@ -33,28 +33,28 @@
 		want     bool
 	}
 	scenarios := []scenario{
-		{testName: "alone and no owner", view: View{Self: host("a", domain), Known: 1}, now: later, want: true},
-		{testName: "too early to have heard of owners", view: View{Self: host("a", domain), Known: 1}, now: 100 * time.Millisecond},
-		{testName: "early, but all have told", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Known: 2}, now: 400 * time.Millisecond, want: true},
-		{testName: "all of the rows have told, but rows may be missing yet", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Known: 2}, now: 300 * time.Millisecond},
-		{testName: "early, but back: the rows are those of all", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Known: 2, Back: true}, now: 100 * time.Millisecond, want: true},
-		{testName: "most have told, a row is of a host that is gone", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Known: 3, Back: true}, now: 400 * time.Millisecond, want: true},
-		{testName: "most have told, but it is too early for the last", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Known: 3, Back: true}, now: 300 * time.Millisecond},
-		{testName: "most have told, but it has no row of before: they may be only its seeds", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Known: 3}, now: 500 * time.Millisecond},
-		{testName: "only half have told", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Known: 4, Back: true}, now: 600 * time.Millisecond},
-		{testName: "the owner is far weaker", view: View{Self: host("a", domain), Up: []Host{weak}, Known: 2}, claims: map[string]int64{"b": 5}, now: later, want: true},
-		{testName: "the owner is a little weaker", view: View{Self: host("a", domain), Up: []Host{slightlyWeak}, Known: 2}, claims: map[string]int64{"b": 5}, now: later},
-		{testName: "another owns it", view: View{Self: host("a", domain), Up: []Host{host("b", domain)}, Known: 2}, claims: map[string]int64{"b": 5}, now: later},
-		{testName: "the owner isn't seen any more", view: View{Self: host("a", domain), Known: 2}, claims: map[string]int64{"b": 5}, now: later, want: true},
-		{testName: "the owner leaves", view: View{Self: host("a", domain), Up: []Host{leaving}, Known: 2}, claims: map[string]int64{"b": 5}, now: later, want: true},
-		{testName: "the owner is of another domain", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Known: 2}, claims: map[string]int64{"b": 5}, now: later, want: true},
-		{testName: "leaving itself", view: View{Self: leaving, Known: 1}, now: later},
-		{testName: "isolated: waits", view: View{Self: host("a", domain), Known: 5}, now: later},
-		{testName: "isolated for long", view: View{Self: host("a", domain), Known: 5}, looked: later, now: later + 3*time.Second, want: true},
-		{testName: "the domain has hosts of its own", view: View{Self: host("a", "there"), Up: []Host{host("b", domain)}, Known: 2}, looked: later, now: later + 10*time.Second},
-		{testName: "the domain is empty, but not for long", view: View{Self: host("a", "there"), Known: 1}, looked: later, now: later + time.Second},
-		{testName: "the domain is empty for long", view: View{Self: host("a", "there"), Known: 1}, looked: later, now: later + 4*time.Second, want: true},
-		{testName: "the domain is out of sight of an isolated host", view: View{Self: host("a", "there"), Known: 5}, looked: later, now: later + 10*time.Second},
+		{testName: "alone and no owner", view: View{Self: host("a", domain), Expected: 1}, now: later, want: true},
+		{testName: "too early to have heard of owners", view: View{Self: host("a", domain), Expected: 1}, now: 100 * time.Millisecond},
+		{testName: "early, but all have told", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Expected: 2}, now: 400 * time.Millisecond, want: true},
+		{testName: "all of the rows have told, but rows may be missing yet", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Expected: 2}, now: 300 * time.Millisecond},
+		{testName: "early, but back: the rows are those of all", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Expected: 2, Restarted: true}, now: 100 * time.Millisecond, want: true},
+		{testName: "most have told, a row is of a host that is gone", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Expected: 3, Restarted: true}, now: 400 * time.Millisecond, want: true},
+		{testName: "most have told, but it is too early for the last", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Expected: 3, Restarted: true}, now: 300 * time.Millisecond},
+		{testName: "most have told, but it has no row of before: they may be only its seeds", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Expected: 3}, now: 500 * time.Millisecond},
+		{testName: "only half have told", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Expected: 4, Restarted: true}, now: 600 * time.Millisecond},
+		{testName: "the owner is far weaker", view: View{Self: host("a", domain), Up: []Host{weak}, Expected: 2}, claims: map[string]int64{"b": 5}, now: later, want: true},
+		{testName: "the owner is a little weaker", view: View{Self: host("a", domain), Up: []Host{slightlyWeak}, Expected: 2}, claims: map[string]int64{"b": 5}, now: later},
+		{testName: "another owns it", view: View{Self: host("a", domain), Up: []Host{host("b", domain)}, Expected: 2}, claims: map[string]int64{"b": 5}, now: later},
+		{testName: "the owner isn't seen any more", view: View{Self: host("a", domain), Expected: 2}, claims: map[string]int64{"b": 5}, now: later, want: true},
+		{testName: "the owner leaves", view: View{Self: host("a", domain), Up: []Host{leaving}, Expected: 2}, claims: map[string]int64{"b": 5}, now: later, want: true},
+		{testName: "the owner is of another domain", view: View{Self: host("a", domain), Up: []Host{host("b", "there")}, Expected: 2}, claims: map[string]int64{"b": 5}, now: later, want: true},
+		{testName: "leaving itself", view: View{Self: leaving, Expected: 1}, now: later},
+		{testName: "isolated: waits", view: View{Self: host("a", domain), Expected: 5}, now: later},
+		{testName: "isolated for long", view: View{Self: host("a", domain), Expected: 5}, looked: later, now: later + 3*time.Second, want: true},
+		{testName: "the domain has hosts of its own", view: View{Self: host("a", "there"), Up: []Host{host("b", domain)}, Expected: 2}, looked: later, now: later + 10*time.Second},
+		{testName: "the domain is empty, but not for long", view: View{Self: host("a", "there"), Expected: 1}, looked: later, now: later + time.Second},
+		{testName: "the domain is empty for long", view: View{Self: host("a", "there"), Expected: 1}, looked: later, now: later + 4*time.Second, want: true},
+		{testName: "the domain is out of sight of an isolated host", view: View{Self: host("a", "there"), Expected: 5}, looked: later, now: later + 10*time.Second},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -75,7 +75,7 @@
 	claims := 0
 	for i, self := range hosts {
 		others := append(append([]Host{}, hosts[:i]...), hosts[i+1:]...)
-		if NewTable(DefaultLimits(), 0).ShouldClaim(domain, domain, View{Self: self, Up: others, Known: 3}, later) {
+		if NewTable(DefaultLimits(), 0).ShouldClaim(domain, domain, View{Self: self, Up: others, Expected: 3}, later) {
 			claims++
 		}
 	}
@@ -242,7 +242,7 @@
 	c.Assert(table.CountInUse("z"), qt.Equals, 2)
 	table.SetClaims("b", []Claim{{Cell: "z", Token: 8}})
 	c.Assert(table.CountInUse("z"), qt.Equals, 1)
-	table.Drop("b")
+	table.Forget("b")
 	c.Assert(table.CountInUse("z"), qt.Equals, 2, qt.Commentf("an owner that is gone doesn't count"))
 }
 
@@ -266,7 +266,7 @@
 			table := NewTable(DefaultLimits(), 0)
 			cells := []string{CellOf(domain, "x", 2), CellOf(domain, "y", 1<<10)}
 			table.SetClaims("b", []Claim{{Cell: cells[0], Token: 5}, {Cell: cells[1], Token: 6}})
-			view := View{Self: idle, Up: []Host{owner}, Known: 2}
+			view := View{Self: idle, Up: []Host{owner}, Expected: 2}
 			var taken []Claim
 			for i, cell := range cells {
 				if table.ShouldClaim(cell, domain, view, later) {
@@ -290,11 +290,11 @@
 		want     bool
 	}
 	scenarios := []scenario{
-		{testName: "it sees nobody", view: View{Self: self, Known: 1}, now: time.Second},
-		{testName: "it sees another domain's host", view: View{Self: self, Up: []Host{far}, Known: 2}, now: time.Second},
-		{testName: "for long", view: View{Self: self, Known: 1}, now: 5 * time.Second, want: true},
-		{testName: "it sees a host of its domain", view: View{Self: self, Up: []Host{near}, Known: 2}, now: time.Second, want: true},
-		{testName: "the rows name nobody else", view: View{Self: self, Known: 1, Listed: true}, now: time.Second, want: true},
+		{testName: "it sees nobody", view: View{Self: self, Expected: 1}, now: time.Second},
+		{testName: "it sees another domain's host", view: View{Self: self, Up: []Host{far}, Expected: 2}, now: time.Second},
+		{testName: "for long", view: View{Self: self, Expected: 1}, now: 5 * time.Second, want: true},
+		{testName: "it sees a host of its domain", view: View{Self: self, Up: []Host{near}, Expected: 2}, now: time.Second, want: true},
+		{testName: "the rows name nobody else", view: View{Self: self, Expected: 1, Listed: true}, now: time.Second, want: true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/pkg/ownership/pick.go
+++ b/pkg/ownership/pick.go
@@ -1,8 +1,8 @@
 package ownership
 
-// Pick returns the host that comes first for a key by rendezvous hashing, weighted
+// PickByHash returns the host that comes first for a key by rendezvous hashing, weighted
 // as for cells. It reports false when all leave.
-func Pick(key string, hosts []Host) (Host, bool) {
+func PickByHash(key string, hosts []Host) (Host, bool) {
 	var best Host
 	bestScore := 0.0
 	found := false
--- a/pkg/ownership/pick_test.go
+++ b/pkg/ownership/pick_test.go
@@ -17,7 +17,7 @@
 	}
 	picked := map[string]int{}
 	for i := range 400 {
-		host, ok := Pick(fmt.Sprintf("key%d", i), hosts)
+		host, ok := PickByHash(fmt.Sprintf("key%d", i), hosts)
 		c.Assert(ok, qt.IsTrue)
 		picked[host.Address]++
 	}
@@ -25,6 +25,6 @@
 	c.Assert(picked["10.0.0.2:1"] > 100, qt.IsTrue)
 	c.Assert(picked["10.0.0.3:1"] < 5, qt.IsTrue)
 	c.Assert(picked["10.0.0.4:1"], qt.Equals, 0)
-	_, ok := Pick("key", hosts[3:])
+	_, ok := PickByHash("key", hosts[3:])
 	c.Assert(ok, qt.IsFalse)
 }
--- a/pkg/ownership/tokens.go
+++ b/pkg/ownership/tokens.go
@@ -49,7 +49,7 @@
 	state := t.state(cell)
 	state.fenced++
 	t.highest += 1 << (ownBits + min(state.fenced, longestJump))
-	restarted := view.Back && now < t.started+restartTime
+	restarted := view.Restarted && now < t.started+restartTime
 	if restarted && state.fenced <= quickRetries && t.madeByNobody(cell, view) {
 		state.noClaim = now + t.limits.Retry
 		return
@@ -68,5 +68,5 @@
 	return allHeard(view)
 }
 
-// Settled takes the news that a claim of ours has held.
-func (t *Table) Settled(cell string) { t.state(cell).fenced = 0 }
+// ClaimAccepted takes the news that a claim of ours has held.
+func (t *Table) ClaimAccepted(cell string) { t.state(cell).fenced = 0 }
--- a/pkg/ownership/tokens_test.go
+++ b/pkg/ownership/tokens_test.go
@@ -12,7 +12,7 @@
 func TestAFencedHostWaitsLongerEachTime(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(DefaultLimits(), 0)
-	view := View{Self: host("a", domain), Known: 1}
+	view := View{Self: host("a", domain), Expected: 1}
 	now := later
 	for _, wait := range []time.Duration{2 * time.Second, 4 * time.Second, 6 * time.Second} {
 		table.Fenced(domain, view, now)
@@ -20,7 +20,7 @@
 		c.Assert(table.ShouldClaim(domain, domain, view, now+wait), qt.IsTrue)
 		now += wait
 	}
-	table.Settled(domain)
+	table.ClaimAccepted(domain)
 	table.Fenced(domain, view, now)
 	c.Assert(table.ShouldClaim(domain, domain, view, now+2*time.Second), qt.IsTrue, qt.Commentf("a claim that held ends the run"))
 }
@@ -45,7 +45,7 @@
 func TestTokensDoNotRunAheadOfTheClock(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(DefaultLimits(), 0)
-	view := View{Self: host("a", domain), Known: 1}
+	view := View{Self: host("a", domain), Expected: 1}
 	now, day := later, noon
 	var last int64
 	for range 20 {
@@ -67,8 +67,8 @@
 	dead := NewTable(DefaultLimits(), 0).NextToken(noon.Add(3*time.Second), 7)
 	table := NewTable(DefaultLimits(), 0)
 	other := host("b", domain)
-	other.Heard = true
-	view := View{Self: host("a", domain), Up: []Host{other}, Known: 2, Back: true}
+	other.HasReported = true
+	view := View{Self: host("a", domain), Up: []Host{other}, Expected: 2, Restarted: true}
 	now, day := 100*time.Millisecond, noon
 	for table.NextToken(day, 1) < dead {
 		table.Fenced(domain, view, now)
@@ -84,8 +84,8 @@
 	c := qt.New(t)
 	table := NewTable(DefaultLimits(), 0)
 	other := host("b", domain)
-	other.Heard = true
-	view := View{Self: host("a", domain), Up: []Host{other}, Known: 2, Back: true}
+	other.HasReported = true
+	view := View{Self: host("a", domain), Up: []Host{other}, Expected: 2, Restarted: true}
 	table.Fenced(domain, view, time.Hour)
 	c.Assert(table.state(domain).noClaim, qt.Equals, time.Hour+DefaultLimits().Fenced)
 }
@@ -94,8 +94,8 @@
 	c := qt.New(t)
 	table := NewTable(DefaultLimits(), 0)
 	other := host("b", domain)
-	other.Heard = true
-	view := View{Self: host("a", domain), Up: []Host{other}, Known: 2}
+	other.HasReported = true
+	view := View{Self: host("a", domain), Up: []Host{other}, Expected: 2}
 	table.SetClaims("b", claimOf("b", 5))
 	table.Fenced(domain, view, later)
 	c.Assert(table.state(domain).noClaim, qt.Equals, later+DefaultLimits().Fenced)
--- a/pkg/peer/counters.go
+++ b/pkg/peer/counters.go
@@ -12,14 +12,14 @@
 
 // The classes of messages.
 const (
-	ClassRecord  Class = iota // records and their replies
-	ClassCopy                 // answers copied to backups
-	ClassForward              // jobs passed on, and their answers
-	ClassBorrow               // wishes for slots
-	ClassLend                 // slots lent
-	ClassReturn               // slots returned
-	ClassNews                 // configurations and lists of executors
-	ClassControl              // hello, heartbeats, fences
+	ClassRecord   Class = iota // records and their replies
+	ClassCopy                  // answers copied to backups
+	ClassForward               // jobs passed on, and their answers
+	ClassBorrow                // wishes for slots
+	ClassLend                  // slots lent
+	ClassReturn                // slots returned
+	ClassSnapshot              // configurations and lists of executors
+	ClassControl               // hello, heartbeats, fences
 	classCount
 )
 
@@ -38,7 +38,7 @@
 
 // Classes returns all classes.
 func Classes() []Class {
-	return []Class{ClassRecord, ClassCopy, ClassForward, ClassBorrow, ClassLend, ClassReturn, ClassNews, ClassControl}
+	return []Class{ClassRecord, ClassCopy, ClassForward, ClassBorrow, ClassLend, ClassReturn, ClassSnapshot, ClassControl}
 }
 
 // Frames returns the number of frames sent; a frame counts for the class of
@@ -65,7 +65,7 @@
 		*peerpb.Message_Keep, *peerpb.Message_KeptQuery, *peerpb.Message_KeptReply, *peerpb.Message_Noted:
 		return ClassForward
 	case *peerpb.Message_FetchSnapshot, *peerpb.Message_Snapshot, *peerpb.Message_FetchConfig:
-		return ClassNews
+		return ClassSnapshot
 	case *peerpb.Message_Borrow:
 		return ClassBorrow
 	case *peerpb.Message_Lend:
--- a/pkg/peer/ended_test.go
+++ b/pkg/peer/ended_test.go
@@ -19,7 +19,7 @@
 	c := qt.New(t)
 	var handled atomic.Int64
 	host := &fakeHost{handle: func(*peerpb.Message, Reply) { handled.Add(1) }}
-	served := &servedSession{server: &Server{Common: common.NewTestCommon(), handler: host, observer: host, callers: newCallers(host.Left)}}
+	served := &servedSession{server: &Server{Common: common.NewTestCommon(), handler: host, observer: host, callers: newCallers(host.LinkClosed)}}
 	served.setHello(&peerpb.Hello{Name: "front"})
 	dispatch := &peerpb.Message{Body: &peerpb.Message_Dispatch{Dispatch: &peerpb.Dispatch{Id: "a"}}}
 
--- a/pkg/peer/link_test.go
+++ b/pkg/peer/link_test.go
@@ -35,8 +35,8 @@
 	return &peerpb.Hello{Name: "fake", Incarnation: []byte{byte(f.incarnation.Load())}}
 }
 func (f *fakeHost) Heartbeat() *peerpb.Heartbeat { return &peerpb.Heartbeat{} }
-func (f *fakeHost) Greeted(*peerpb.Hello)        { f.greeted.Add(1) }
-func (f *fakeHost) Left(*peerpb.Hello)           {}
+func (f *fakeHost) LinkAccepted(*peerpb.Hello)   { f.greeted.Add(1) }
+func (f *fakeHost) LinkClosed(*peerpb.Hello)     {}
 func (f *fakeHost) Handle(_ *peerpb.Hello, m *peerpb.Message, reply Reply) {
 	if m.GetHeartbeat() != nil {
 		reply(&peerpb.Message{Body: &peerpb.Message_Heartbeat{Heartbeat: &peerpb.Heartbeat{}}}, 0)
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -19,11 +19,11 @@
 // arrival on a stream and must not block; slow work goes to a goroutine.
 type Handler interface {
 	Handle(from *peerpb.Hello, m *peerpb.Message, reply Reply)
-	// Greeted is called when a peer opens a link.
-	Greeted(from *peerpb.Hello)
-	// Left is called when a peer that had opened a link is gone: it has no
+	// LinkAccepted is called when a peer opens a link.
+	LinkAccepted(from *peerpb.Hello)
+	// LinkClosed is called when a peer that had opened a link is gone: it has no
 	// connection for a while, or is another process by now.
-	Left(from *peerpb.Hello)
+	LinkClosed(from *peerpb.Hello)
 }
 
 // Server accepts the links of peers.
@@ -44,7 +44,7 @@
 func NewServer(c *common.Common, listener net.Listener, handler Handler, observer Observer, counters *Counters) *Server {
 	return &Server{
 		Common: c, listener: listener, handler: handler, observer: observer, counters: counters,
-		callers: newCallers(handler.Left), sessions: map[*yamux.Session]bool{},
+		callers: newCallers(handler.LinkClosed), sessions: map[*yamux.Session]bool{},
 	}
 }
 
@@ -142,7 +142,7 @@
 	if hello := m.GetHello(); hello != nil {
 		s.setHello(hello)
 		s.server.callers.greeted(hello)
-		s.server.handler.Greeted(hello)
+		s.server.handler.LinkAccepted(hello)
 		reply(&peerpb.Message{Body: &peerpb.Message_Hello{Hello: s.server.observer.Hello()}}, 0)
 		return
 	}
