--- a/pkg/node/attempt.go
+++ b/pkg/node/attempt.go
@@ -11,38 +11,40 @@
 )
 
 const (
-	// noOwnerWait is how long a job waits for an owner at most.
+	// noOwnerWait is the longest time that a job waits for an owner.
 	noOwnerWait = 1500 * time.Millisecond
-	// startPatience is how long after its start a node keeps jobs for owners of
-	// its own domain: the first owners of all would else get every domain's jobs.
-	startPatience = 1200 * time.Millisecond
-	// ownerRecheck is how soon a job that waits looks for an owner again when
-	// nothing changes.
-	ownerRecheck = 200 * time.Millisecond
-	// ownerPause keeps a front from asking one that gives jobs back at once.
-	ownerPause = 20 * time.Millisecond
+	// startupGrace is how long after its start a node waits for owners of its own
+	// domain. When all hosts restart, the first owners would otherwise get the jobs of
+	// every domain.
+	startupGrace = 1200 * time.Millisecond
+	// ownerRecheckInterval is how often a waiting job searches for an owner when no change
+	// is signalled.
+	ownerRecheckInterval = 200 * time.Millisecond
+	// redispatchDelay is the delay before a returned job is dispatched again, so that a front
+	// does not retry in a tight loop.
+	redispatchDelay = 20 * time.Millisecond
 )
 
-// attempt is what a front remembers of a job between owners.
+// attempt is the state of a job that its front passes from one owner to the next.
 type attempt struct {
 	epoch    int
 	progress []job.Progress
 	started  bool
-	lostCell string        // where runs of it may go on
-	settleAt time.Duration // they have ended by then
-	wanted   string        // cell to try first, or nothing
+	lostCell string        // cell of a former owner, where runs of the job may still be alive
+	settleAt time.Duration // runs in lostCell have ended by then
+	wanted   string        // cell to try first, once; empty when none
 }
 
-// moved takes a job back from an owner that gave its cell up. Its runs go on
-// there, for the next owner of the cell to adopt.
+// moved records that an owner has returned the job. Its runs go on in the cell, where
+// the next owner adopts them.
 func (a *attempt) moved(cellName string, outcome job.Outcome, settleAt time.Duration) {
 	if outcome.Reason == reasonNotOwner {
-		return // it hasn't been there
+		return // the job was not accepted there
 	}
 	a.progress = outcome.Progress
 	a.started = a.started || outcome.Started
 	if outcome.Reason == cell.ReasonClosed {
-		a.lostCell = "" // nothing of it runs there
+		a.lostCell = "" // no run of the job is left there
 		return
 	}
 	if outcome.Started {
@@ -50,26 +52,26 @@
 	}
 }
 
-// lost takes a job back from an owner that can't be asked.
+// lost records that the owner of the job is unreachable.
 func (a *attempt) lost(cellName string, settleAt time.Duration) {
 	a.started = true
 	a.progress = nil
 	a.lostCell, a.settleAt = cellName, settleAt
 }
 
-// Reasons that fronts and owners give.
+// Reasons in outcomes of fronts and owners.
 const (
-	reasonNotOwner     = "not_owner"     // a job was given back untouched
-	reasonNoOwner      = "no_owner"      // no owner was in sight in time
-	reasonDomainClosed = "domain_closed" // the own domain is closed, and no owner of an open one is in sight
+	reasonNotOwner     = "not_owner"     // the node does not own the cell; nothing of the job has run there
+	reasonNoOwner      = "no_owner"      // no owner was reachable in time
+	reasonDomainClosed = "domain_closed" // this domain is closed, and no owner of an open one is reachable
 )
 
-// follow hands a job to owners until it has ended, beginning with state.
+// follow dispatches a job to one owner after another until it has ended.
 func (f *front) follow(ctx context.Context, j *job.Job, state attempt) job.Outcome {
 	for {
 		claim, ok := f.awaitOwner(ctx, j, &state)
 		if !ok {
-			return f.giveUp(ctx, j, &state)
+			return f.outcomeWithoutOwner(ctx, j, &state)
 		}
 		f.markDispatched(j.WholeID(), claim.Cell, state.epoch)
 		outcome := f.dispatch(ctx, j, claim, &state)
@@ -79,15 +81,15 @@
 		switch outcome.Kind {
 		case job.Moved:
 			state.moved(claim.Cell, outcome, f.node.Clock.Now()+f.node.settleTime())
-			common.Sleep(ctx, ownerPause)
+			common.Sleep(ctx, redispatchDelay)
 		case job.Lost:
 			state.lost(claim.Cell, f.node.Clock.Now()+f.node.settleTime())
-			common.Sleep(ctx, ownerPause)
+			common.Sleep(ctx, redispatchDelay)
 		default:
 			outcome.Started = outcome.Started || state.started
 			return outcome
 		}
-		if outcome.Reason == reasonNotOwner || untouched(outcome) {
+		if outcome.Reason == reasonNotOwner || returnedUnstarted(outcome) {
 			continue
 		}
 		state.epoch++
@@ -100,18 +102,19 @@
 	}
 }
 
-// untouched reports whether an owner has given a job back of which nothing has run,
-// so that the next one may still refuse it.
-func untouched(outcome job.Outcome) bool {
+// returnedUnstarted reports whether an owner has returned a job of which nothing has
+// run, so that the next owner may still refuse it.
+func returnedUnstarted(outcome job.Outcome) bool {
 	return !outcome.Started && (outcome.Reason == cell.ReasonClosed || outcome.Reason == cell.ReasonNotRenewed)
 }
 
-// settleTime is how long after losing an owner its runs may go on: until the
-// lease has ended that the job had there, and executors that are late have ended them.
+// settleTime is the time after which no unrenewed run can be alive: the lease of the job
+// at its owner has ended, and executors have had time to stop its runs.
 func (n *Node) settleTime() time.Duration { return n.jobLease() + n.settings.StopTime }
 
-// giveUp ends a job for which no owner was found, or whose caller has left.
-func (f *front) giveUp(ctx context.Context, j *job.Job, state *attempt) job.Outcome {
+// outcomeWithoutOwner returns the outcome of a job for which no owner was found in time,
+// or whose caller has left.
+func (f *front) outcomeWithoutOwner(ctx context.Context, j *job.Job, state *attempt) job.Outcome {
 	if ctx.Err() != nil {
 		return abandoned(ctx, state.started)
 	}
@@ -125,18 +128,19 @@
 	return job.Outcome{Kind: job.Refused, Reason: reason, RetryAfter: comeBack}
 }
 
-// patience returns until when a job waits for an owner: no longer than an owner
-// that comes then could still have it answered in time to be worth something.
+// patience returns until when a job waits for an owner: as long as an owner found then
+// can still complete it while its answer has value.
 func (f *front) patience(j *job.Job, state *attempt) time.Duration {
 	limit := min(j.Deadline, f.node.Clock.Now()+noOwnerWait)
 	if state.started {
-		return limit // an owner may find it done
+		return limit // the next owner may find it completed
 	}
 	chain := j.LongestChain()
 	return min(limit, j.UsefulUntil(chain)-chain)
 }
 
-// awaitOwner returns the owner to hand a job to, waiting for one if need be.
+// awaitOwner returns the claim of the owner to dispatch a job to, and waits for one if
+// there is none. It reports false when none appears in time.
 func (f *front) awaitOwner(ctx context.Context, j *job.Job, state *attempt) (ownership.Claim, bool) {
 	limit := f.patience(j, state)
 	for {
@@ -148,7 +152,7 @@
 		if left <= 0 || f.node.noneOpenInSight() {
 			return ownership.Claim{}, false
 		}
-		timer := time.NewTimer(min(left, ownerRecheck))
+		timer := time.NewTimer(min(left, ownerRecheckInterval))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -160,8 +164,8 @@
 	}
 }
 
-// choose picks an owner. A job whose owner was lost stays with the cell, where
-// the next owner finds its runs.
+// choose selects an owner for a job. A job whose former owner is unreachable stays in
+// that cell, where the next owner finds its runs.
 func (f *front) choose(j *job.Job, state *attempt) (ownership.Claim, bool) {
 	n := f.node
 	n.mu.Lock()
@@ -175,13 +179,13 @@
 			return claim, true
 		}
 	}
-	if n.ownerless && n.Clock.Now() < startPatience {
+	if n.ownerless && n.Clock.Now() < startupGrace {
 		return ownership.Claim{}, false
 	}
-	return ownership.Choose(n.openClaims(), n.settings.Domain, j.Service, largestNeed(j))
+	return ownership.Choose(n.openClaims(), n.settings.Domain, j.Service, maxTaskCPU(j))
 }
 
-func largestNeed(j *job.Job) int64 {
+func maxTaskCPU(j *job.Job) int64 {
 	var need int64
 	for _, step := range j.Steps {
 		need = max(need, step.Needs.CPU)
--- a/pkg/node/calls.go
+++ b/pkg/node/calls.go
@@ -7,55 +7,54 @@
 	"github.com/foxcroft/foxcroft/pkg/rtt"
 )
 
-// Bounds of what the way to an executor and back may take, beyond what a hold
-// waits by itself. Between them the round trips of late decide.
+// Bounds of the timeout of calls to executors, in addition to the time that a hold
+// request waits at the executor. Between the bounds, recent round trips decide.
 const (
-	// shortestRoundTrip is that on a link that takes no time. With one order in five lost
-	// for 5 s, and jobs of 60 ms, callers got 0.53 of the worth of a day with 80 ms, 0.61
-	// with 40, 0.64 with 25 and 0.65 with 15 and 10, no more than days differ by.
-	shortestRoundTrip = 25 * time.Millisecond
-	// burstBytes is what may be ahead of an order on the host's link: the starts
-	// that a cell has under way (cell.Params.LinkRate), and as much of the rest.
+	// minRoundTrip applies to a link with negligible delay. A short timeout limits how
+	// long a job waits for the retry of a lost command.
+	minRoundTrip = 25 * time.Millisecond
+	// burstBytes may be queued ahead of a command on the host's link: the starts
+	// that a cell has in flight (cell.Params.LinkRate), and as much of other traffic.
 	burstBytes = 16 << 10
-	// longestRoundTrip has a hold that goes unanswered be followed by the next one well
-	// before the lease that the one before it gave is over.
-	longestRoundTrip = 300 * time.Millisecond
+	// maxRoundTrip is short enough that an unanswered hold request is followed by
+	// the next one well before the lease that the previous one granted ends.
+	maxRoundTrip = 300 * time.Millisecond
 )
 
-// calls carries out the commands of cells.
+// calls executes the commands of cells.
 type calls struct {
-	executors Executors
-	clock     func() time.Duration
-	trips     *rtt.Estimator // of starts and stops, whose executors don't make them wait
-	listeners listeners
-	workers   *workers[call]
+	executors    Executors
+	clock        func() time.Duration
+	trips        *rtt.Estimator // of start and stop requests, which executors answer at once
+	overdueCalls overdueCalls
+	workers      *workers[call]
 }
 
-// call is a command with the owner that waits for its answer.
+// call is a command and the owner that waits for its result.
 type call struct {
 	owner   *owner
 	command cell.Command
 }
 
-// newCalls makes the calls of a host whose link carries linkRate bytes a second;
-// 0 when that isn't known.
+// newCalls returns calls for a host whose link carries linkRate bytes per second;
+// 0 when the rate is not known.
 func newCalls(executors Executors, clock func() time.Duration, linkRate float64) *calls {
-	shortest := shortestRoundTrip
+	shortest := minRoundTrip
 	if linkRate > 0 {
 		shortest += time.Duration(burstBytes / linkRate * float64(time.Second))
 	}
-	shortest = min(shortest, longestRoundTrip)
-	c := &calls{executors: executors, clock: clock, trips: rtt.NewEstimator(shortest, longestRoundTrip)}
-	c.workers = newWorkers(c.carryOut)
+	shortest = min(shortest, maxRoundTrip)
+	c := &calls{executors: executors, clock: clock, trips: rtt.NewEstimator(shortest, maxRoundTrip)}
+	c.workers = newWorkers(c.execute)
 	return c
 }
 
-// run carries out a command and feeds its answer back. It doesn't block.
+// run executes a command on another goroutine, which passes the result to the owner.
 func (c *calls) run(o *owner, command cell.Command) {
 	c.workers.run(call{owner: o, command: command})
 }
 
-func (c *calls) carryOut(todo call) {
+func (c *calls) execute(todo call) {
 	switch todo.command.Kind {
 	case cell.Start:
 		c.start(todo.owner, &todo.command)
@@ -67,82 +66,81 @@
 }
 
 func (c *calls) start(o *owner, command *cell.Command) {
-	order := StartOrder{Task: command.Task, Run: command.Run, Spec: command.Spec, Deadline: command.Deadline, Token: command.Token}
+	request := StartOrder{Task: command.Task, Run: command.Run, Spec: command.Spec, Deadline: command.Deadline, Token: command.Token}
 	sentAt := c.clock()
-	listening := c.listeners.listen(c.trips.Timeout(), func() {
+	pending := c.overdueCalls.begin(c.trips.Timeout(), func() {
 		o.do(func(state *cell.Cell, now time.Duration) {
 			state.StartOverdue(command.Executor.Incarnation(), command.Task, command.Run, now)
 		})
 	})
-	answer := c.executors.Start(&command.Executor, order, listening.within)
-	late := listening.ended()
-	c.observe(answer.Verdict, c.clock()-sentAt)
-	o.node.metrics.OrderAnswered("start", answer.Verdict.String())
-	c.logNotAccepted("start_not_accepted", o, command, answer, sentAt)
+	result := c.executors.Start(&command.Executor, request, pending.timeout)
+	late := pending.finish()
+	c.observe(result.Verdict, c.clock()-sentAt)
+	o.node.metrics.OrderAnswered("start", result.Verdict.String())
+	c.logNotAccepted("start_not_accepted", o, command, result, sentAt)
 	o.do(func(state *cell.Cell, now time.Duration) {
 		if late {
-			state.LateStartAnswered(command.Executor.Incarnation(), command.Task, command.Run, answer.Verdict, answer.Clock, now)
+			state.LateStartAnswered(command.Executor.Incarnation(), command.Task, command.Run, result.Verdict, result.Clock, now)
 			return
 		}
-		state.StartAnswered(command.Executor.Incarnation(), command.Task, command.Run, answer.Verdict, answer.Clock, now)
+		state.StartAnswered(command.Executor.Incarnation(), command.Task, command.Run, result.Verdict, result.Clock, now)
 	})
 }
 
 func (c *calls) stop(o *owner, command *cell.Command) {
-	order := StopOrder{Task: command.Task, Run: command.Run, Token: command.Token}
+	request := StopOrder{Task: command.Task, Run: command.Run, Token: command.Token}
 	sentAt := c.clock()
 	answered := func(verdict cell.Verdict, clock time.Duration) {
 		o.do(func(state *cell.Cell, now time.Duration) {
 			state.StopAnswered(command.Executor.Incarnation(), command.Task, command.Run, verdict, clock, now)
 		})
 	}
-	listening := c.listeners.listen(c.trips.Timeout(), func() { answered(cell.Unanswered, 0) })
-	answer := c.executors.Stop(&command.Executor, order, listening.within)
-	late := listening.ended()
-	c.observe(answer.Verdict, c.clock()-sentAt)
-	o.node.metrics.OrderAnswered("stop", answer.Verdict.String())
-	c.logNotAccepted("stop_not_accepted", o, command, answer, sentAt)
+	pending := c.overdueCalls.begin(c.trips.Timeout(), func() { answered(cell.Unanswered, 0) })
+	result := c.executors.Stop(&command.Executor, request, pending.timeout)
+	late := pending.finish()
+	c.observe(result.Verdict, c.clock()-sentAt)
+	o.node.metrics.OrderAnswered("stop", result.Verdict.String())
+	c.logNotAccepted("stop_not_accepted", o, command, result, sentAt)
 	if !late {
-		answered(answer.Verdict, answer.Clock)
+		answered(result.Verdict, result.Clock)
 	}
 }
 
-// logNotAccepted logs an order that was not accepted, with what its answer said: whether the
-// run may go on is decided by that.
-func (c *calls) logNotAccepted(event string, o *owner, command *cell.Command, answer CommandResult, sentAt time.Duration) {
-	if answer.Verdict == cell.Accepted {
+// logNotAccepted logs a command that was not accepted, with the executor's message.
+func (c *calls) logNotAccepted(event string, o *owner, command *cell.Command, result CommandResult, sentAt time.Duration) {
+	if result.Verdict == cell.Accepted {
 		return
 	}
 	o.node.Log.Info(event, "cell", o.cell, "executor", command.Executor.ID, "task", command.Task, "run", command.Run,
-		"verdict", answer.Verdict.String(), "told", answer.Message, "age_ms", (c.clock() - sentAt).Milliseconds())
+		"verdict", result.Verdict.String(), "told", result.Message, "age_ms", (c.clock() - sentAt).Milliseconds())
 }
 
 func (c *calls) hold(o *owner, command *cell.Command) {
-	order := HoldOrder{Deadline: command.Deadline, Token: command.Token, LastSeen: command.LastSeen, Wait: command.Wait}
+	request := HoldOrder{Deadline: command.Deadline, Token: command.Token, LastSeen: command.LastSeen, Wait: command.Wait}
 	sentAt := c.clock()
-	listening := c.listeners.listen(command.Wait+c.trips.Timeout(), func() {
+	pending := c.overdueCalls.begin(command.Wait+c.trips.Timeout(), func() {
 		o.do(func(state *cell.Cell, now time.Duration) {
 			state.HoldOverdue(command.Executor.Incarnation(), sentAt, now)
 		})
 	})
-	answer := c.executors.Hold(&command.Executor, order, listening.within)
-	late := listening.ended()
-	o.node.metrics.OrderAnswered("hold", answer.Verdict.String())
-	if answer.Message != "" { // silence is told by the cell, once
-		c.logNotAccepted("hold_not_accepted", o, command, CommandResult{Verdict: answer.Verdict, Message: answer.Message}, sentAt)
+	response := c.executors.Hold(&command.Executor, request, pending.timeout)
+	late := pending.finish()
+	o.node.metrics.OrderAnswered("hold", response.Verdict.String())
+	if response.Message != "" { // the cell logs an unanswered request itself, once
+		c.logNotAccepted("hold_not_accepted", o, command, CommandResult{Verdict: response.Verdict, Message: response.Message}, sentAt)
 	}
-	o.node.noteAnswer(answer)
+	o.node.noteAnswer(response)
 	o.do(func(state *cell.Cell, now time.Duration) {
 		if late {
-			state.LateHoldAnswered(command.Executor.Incarnation(), answer, sentAt, now)
+			state.LateHoldAnswered(command.Executor.Incarnation(), response, sentAt, now)
 			return
 		}
-		state.HoldAnswered(command.Executor.Incarnation(), answer, sentAt, now)
+		state.HoldAnswered(command.Executor.Incarnation(), response, sentAt, now)
 	})
 }
 
-// observe takes how long an order and its answer took. A call without an answer has
-// no round trip: lost ones tell nothing of the link.
+// observe records the round trip of a command. A call without an answer has none:
+// lost messages say nothing about the delay of the link.
 func (c *calls) observe(verdict cell.Verdict, trip time.Duration) {
 	if verdict != cell.Unreached && verdict != cell.Unanswered {
 		c.trips.Observe(trip)
--- a/pkg/node/claims.go
+++ b/pkg/node/claims.go
@@ -14,14 +14,14 @@
 	}
 	n.noticeOwnerless(listing)
 	names := n.cellsToClaim(listing, now)
-	n.foreign.keepOnly(names)
+	n.foreignDomains.retainOnly(names)
 	for _, name := range names {
 		domain := ownership.DomainOf(name)
 		if domain != n.settings.Domain && !n.mayClaimForeign(domain, now) {
 			continue
 		}
-		// One that was claimed a moment ago may have made another host the
-		// first for this one.
+		// Check again: after a claim earlier in this loop, another host may be
+		// preferred for this cell.
 		if n.shouldClaim(name, now) {
 			n.claim(name, now)
 		}
@@ -29,7 +29,7 @@
 	n.yieldCells(listing)
 }
 
-// cellsToClaim returns the cells that this node should claim by what it sees.
+// cellsToClaim returns the cells that this node should claim in its current view.
 func (n *Node) cellsToClaim(listing *listing, now time.Duration) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -49,32 +49,32 @@
 	return n.claims.ShouldClaim(name, ownership.DomainOf(name), n.ownershipView(), now)
 }
 
-// claim becomes the owner of a cell. A former owner that is still there gives
-// its jobs back once the executors have been fenced.
+// claim makes this node the owner of a cell. A former owner that is still alive returns
+// its jobs to their fronts once the executors are fenced.
 func (n *Node) claim(cellName string, now time.Duration) {
 	n.mu.Lock()
 	if n.owners[cellName] != nil {
 		n.mu.Unlock()
-		return // claimed by another goroutine a moment ago
+		return // claimed by another goroutine in the meantime
 	}
 	former, hasFormer := n.claims.Owner(cellName)
 	token := n.claims.NextToken(time.Now(), uint32(n.inc[0])<<16|uint32(n.inc[1])<<8|uint32(n.inc[2]))
 	o := newOwner(n, cellName, token, now)
 	if hasFormer {
-		o.former = former.Owner
+		o.formerOwner = former.Owner
 	}
 	n.owners[cellName] = o
 	n.mu.Unlock()
 	n.metrics.OwnershipChanged("claimed")
-	n.Log.Info("cell_claimed", "cell", cellName, "token", token, "former", o.former)
+	n.Log.Info("cell_claimed", "cell", cellName, "token", token, "former", o.formerOwner)
 	o.followClosures()
 	o.setExecutors(n.executors.Load())
 	n.askForList()
 	n.publishClaims()
 }
 
-// yieldCells gives up cells of other domains once those domains have nodes again,
-// and cells that no longer exist once their work is done.
+// yieldCells releases cells of other domains once those domains have nodes again,
+// and cells that no longer exist once they have no jobs or runs.
 func (n *Node) yieldCells(listing *listing) {
 	for _, o := range n.allOwners() {
 		domain := ownership.DomainOf(o.cell)
@@ -99,7 +99,7 @@
 	return false
 }
 
-// release ends the ownership of a cell and hands its jobs back.
+// release ends the ownership of a cell and returns its jobs to their fronts.
 func (n *Node) release(o *owner, reason string) {
 	n.mu.Lock()
 	if n.owners[o.cell] == o {
@@ -113,7 +113,7 @@
 	o.release(reason)
 }
 
-// publishClaims tells peers what this node owns, at once.
+// publishClaims announces to peers at once which cells this node owns.
 func (n *Node) publishClaims() {
 	claims := n.ownClaims()
 	n.mu.Lock()
@@ -122,15 +122,15 @@
 	n.tellNews()
 }
 
-// tellNews wakes what waits for owners, here and at the peers.
+// tellNews sends heartbeats to peers at once and wakes jobs that wait for an owner.
 func (n *Node) tellNews() {
 	n.heartbeats.outdate()
 	n.changed.signal()
 	n.links.Nudge()
 }
 
-// refreshOwnClaims notes how busy the own cells are, and tells peers at once
-// when one of them has become able to serve.
+// refreshOwnClaims updates the loads of this node's claims. It notifies peers at once
+// when one of its cells becomes able or unable to serve.
 func (n *Node) refreshOwnClaims() {
 	claims := n.ownClaims()
 	n.mu.Lock()
--- a/pkg/node/claim_test.go
+++ b/pkg/node/claims_test.go
@@ -9,7 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestACellIsClaimedOnceByGoroutinesThatCollide(t *testing.T) {
+// Concurrent claims of a cell must not replace its owner.
+func TestConcurrentClaimsMakeOneOwner(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
 	n.executors.Store(newListing(0, &catalog.Executors{}, nil, nil))
--- a/pkg/node/convert.go
+++ b/pkg/node/convert.go
@@ -64,7 +64,7 @@
 
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// fromRouteCounts returns the counts of waiting jobs by route.
+// fromRouteCounts returns the number of waiting jobs by route.
 func fromRouteCounts(counts []*peerpb.RouteCount) map[string]int {
 	byRoute := make(map[string]int, len(counts))
 	for _, c := range counts {
@@ -73,17 +73,17 @@
 	return byRoute
 }
 
-// toPassed makes the message that passes changes of executors on. Their clocks
-// stay behind: they are of use only when fresh.
-func toPassed(passed *catalog.RelayedList) *peerpb.Snapshot {
+// toPassed returns the message that relays changes of the executor list. It omits the
+// executors' clocks, which are stale on arrival.
+func toPassed(relayed *catalog.RelayedList) *peerpb.Snapshot {
 	m := &peerpb.Snapshot{
 		Kind:     newsExecutors,
-		Revision: passed.Changes.Revision,
-		Gone:     passed.Changes.Removed,
-		Since:    passed.Since,
-		Position: passed.Position,
+		Revision: relayed.Changes.Revision,
+		Gone:     relayed.Changes.Removed,
+		Since:    relayed.Since,
+		Position: relayed.Position,
 	}
-	for _, executor := range passed.Changes.Listed {
+	for _, executor := range relayed.Changes.Listed {
 		m.Executors = append(m.Executors, &peerpb.ListedExecutor{
 			Id:        executor.ID,
 			Born:      executor.StartedAt,
@@ -102,13 +102,13 @@
 }
 
 func fromPassed(m *peerpb.Snapshot) *catalog.RelayedList {
-	passed := &catalog.RelayedList{
+	relayed := &catalog.RelayedList{
 		Changes:  catalog.ExecutorChanges{Revision: m.Revision, Removed: m.Gone},
 		Since:    m.Since,
 		Position: m.Position,
 	}
 	for _, listed := range m.Executors {
-		passed.Changes.Listed = append(passed.Changes.Listed, catalog.Executor{
+		relayed.Changes.Listed = append(relayed.Changes.Listed, catalog.Executor{
 			ID:        listed.Id,
 			StartedAt: listed.Born,
 			Service:   listed.Service,
@@ -120,5 +120,5 @@
 			Labels:    listed.Labels,
 		})
 	}
-	return passed
+	return relayed
 }
--- a/pkg/node/convert_test.go
+++ b/pkg/node/convert_test.go
@@ -9,12 +9,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// What hosts pass on of an executor is all that its row tells but its clock.
-func TestExecutorsThatArePassedOn(t *testing.T) {
+// Hosts relay all fields of an executor's row except its clock.
+func TestRelayedListRoundTrip(t *testing.T) {
 	executor := catalog.Executor{
 		ID: "i-0", StartedAt: 1764000000000, Service: "s", Address: "10.0.0.1:80", Domain: "z", Draining: true, Remains: 1500 * time.Millisecond,
 		Capacity: job.Resources{CPU: 16000, MemoryMB: 32768, GPU: 1}, Labels: []string{"kind-a", "rack-1"},
 	}
-	passed := &catalog.RelayedList{Since: 3, Position: 5, Changes: catalog.ExecutorChanges{Revision: 4, Listed: []catalog.Executor{executor}}}
-	qt.Assert(t, fromPassed(toPassed(passed)), qt.DeepEquals, passed)
+	relayed := &catalog.RelayedList{Since: 3, Position: 5, Changes: catalog.ExecutorChanges{Revision: 4, Listed: []catalog.Executor{executor}}}
+	qt.Assert(t, fromPassed(toPassed(relayed)), qt.DeepEquals, relayed)
 }
--- a/pkg/node/dispatch.go
+++ b/pkg/node/dispatch.go
@@ -11,7 +11,7 @@
 	"github.com/foxcroft/foxcroft/pkg/peerpb"
 )
 
-// dispatch hands a job to an owner and waits for its end there.
+// dispatch submits a job to an owner and waits for the outcome.
 func (f *front) dispatch(ctx context.Context, j *job.Job, claim ownership.Claim, state *attempt) job.Outcome {
 	f.node.Log.Info("job_dispatched", "job", j.ID, "cell", claim.Cell, "owner", claim.Owner, "token", claim.Token, "epoch", state.epoch, "queued_work", claim.Load.QueuedWork)
 	settleAt := time.Duration(0)
@@ -19,12 +19,12 @@
 		settleAt = state.settleAt
 	}
 	if claim.Owner == f.node.settings.PeerAddress {
-		return f.dispatchHere(ctx, j, claim, state, settleAt)
+		return f.dispatchLocal(ctx, j, claim, state, settleAt)
 	}
 	return f.dispatchToPeer(ctx, j, claim, state, settleAt)
 }
 
-func (f *front) dispatchHere(ctx context.Context, j *job.Job, claim ownership.Claim, state *attempt, settleAt time.Duration) job.Outcome {
+func (f *front) dispatchLocal(ctx context.Context, j *job.Job, claim ownership.Claim, state *attempt, settleAt time.Duration) job.Outcome {
 	o := f.node.owner(claim.Cell)
 	if o == nil {
 		return job.Outcome{Kind: job.Moved, Reason: reasonNotOwner}
@@ -68,15 +68,15 @@
 	return fromOutcome(outcome)
 }
 
-// noteDispatch notes that a job is with another node, until the function that it
-// returns is called.
+// noteDispatch counts a job as dispatched to another node until the returned function
+// is called.
 func (f *front) noteDispatch(address string) func() {
 	f.mu.Lock()
 	f.dispatched[address]++
 	first := f.dispatched[address] == 1
 	f.mu.Unlock()
 	if first && !f.node.beatsFast(address) {
-		f.node.links.NudgeOne(address) // it beats fast from now on, before the owner takes us for silent
+		f.node.links.NudgeOne(address) // send frequent heartbeats before the owner considers this host unresponsive
 	}
 	return func() {
 		f.mu.Lock()
@@ -88,15 +88,15 @@
 	}
 }
 
-// dispatchedTo reports whether a job is with another node.
+// dispatchedTo reports whether a job of this front is with another node.
 func (f *front) dispatchedTo(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.dispatched[address] > 0
 }
 
-// dispatches reports whether jobs are with other nodes.
-func (f *front) dispatches() bool {
+// hasDispatched reports whether any job of this front is with another node.
+func (f *front) hasDispatched() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.dispatched) > 0
--- a/pkg/node/foreign.go
+++ b/pkg/node/foreign.go
@@ -9,37 +9,37 @@
 	"github.com/foxcroft/foxcroft/pkg/ownership"
 )
 
-// A domain whose nodes are all out of sight may have lost them, or be cut off
-// and serve by itself. Only in the first case should a node of another domain
-// claim its executors. So it first looks whether they can be reached, by a
-// hold without a token, which changes nothing; and as the links to the domain's
-// nodes come back within moments of a cut's end, it then waits a while.
+// A domain whose nodes are all unreachable may have lost them, or be cut off by the
+// network and serve by itself. Only in the first case should a node of another domain
+// claim its executors. Such a node first probes whether the executors are reachable, by
+// a hold request without a token, which changes nothing. It claims them only after they
+// have been reachable for minReachable: after a network partition, the links to the
+// domain's nodes come back within that time.
 const (
-	probeInterval  = 300 * time.Millisecond
-	probeTimeout   = 250 * time.Millisecond
-	probedAtOnce   = 2
-	reachableLimit = 2 * time.Second // of being reachable, before a claim
+	probeInterval      = 300 * time.Millisecond
+	probeTimeout       = 250 * time.Millisecond
+	maxProbedExecutors = 2
+	minReachable       = 2 * time.Second // before a claim
 )
 
-// foreignDomains remembers since when the executors of other domains could be
-// reached.
+// foreignDomains records since when the executors of other domains have been reachable.
 type foreignDomains struct {
 	mu      sync.Mutex
 	domains map[string]*foreignDomain
 }
 
 type foreignDomain struct {
-	since    time.Duration // reachable; 0 while not
-	nextLook time.Duration
+	reachableSince time.Duration // 0 while the executors are unreachable
+	nextProbe      time.Duration
 }
 
 func newForeignDomains() *foreignDomains {
 	return &foreignDomains{domains: map[string]*foreignDomain{}}
 }
 
-// keepOnly ends the looks at all domains but those of the given cells, which
-// need an owner from elsewhere. A later look begins anew.
-func (f *foreignDomains) keepOnly(cells []string) {
+// retainOnly discards the state of all domains but those of the given cells, which need
+// an owner from another domain.
+func (f *foreignDomains) retainOnly(cells []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for domain := range f.domains {
@@ -50,8 +50,8 @@
 	}
 }
 
-// due reports whether a domain may be claimed, and whether a look is due.
-func (f *foreignDomains) due(domain string, now time.Duration) (claim, look bool) {
+// due reports whether a domain may be claimed, and whether its executors are to be probed now.
+func (f *foreignDomains) due(domain string, now time.Duration) (mayClaim, probeDue bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state := f.domains[domain]
@@ -59,16 +59,16 @@
 		state = &foreignDomain{}
 		f.domains[domain] = state
 	}
-	claim = state.since > 0 && now >= state.since+reachableLimit
-	look = now >= state.nextLook
-	if look {
-		state.nextLook = now + probeInterval
+	mayClaim = state.reachableSince > 0 && now >= state.reachableSince+minReachable
+	probeDue = now >= state.nextProbe
+	if probeDue {
+		state.nextProbe = now + probeInterval
 	}
-	return claim, look
+	return mayClaim, probeDue
 }
 
-// looked takes the result of a look.
-func (f *foreignDomains) looked(domain string, reached bool, now time.Duration) {
+// recordProbe records the result of a probe.
+func (f *foreignDomains) recordProbe(domain string, reached bool, now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	state := f.domains[domain]
@@ -76,34 +76,34 @@
 		return
 	}
 	if !reached {
-		state.since = 0
-	} else if state.since == 0 {
-		state.since = now
+		state.reachableSince = 0
+	} else if state.reachableSince == 0 {
+		state.reachableSince = now
 	}
 }
 
-// mayClaimForeign reports whether cells of a domain without nodes may be claimed by this
-// node of another domain, and looks at its executors now and then.
+// mayClaimForeign reports whether this node may claim cells of another domain that has no
+// reachable nodes. Until it may, it probes the domain's executors periodically.
 func (n *Node) mayClaimForeign(domain string, now time.Duration) bool {
-	claim, look := n.foreign.due(domain, now)
-	if look && !claim {
-		go n.lookAt(domain)
+	mayClaim, probeDue := n.foreignDomains.due(domain, now)
+	if probeDue && !mayClaim {
+		go n.probe(domain)
 	}
-	return claim
+	return mayClaim
 }
 
-func (n *Node) lookAt(domain string) {
+func (n *Node) probe(domain string) {
 	listing := n.executors.Load()
 	if listing == nil {
 		return
 	}
 	reached := false
 	for i, executor := range listing.inDomain(domain) {
-		if i == probedAtOnce || reached {
+		if i == maxProbedExecutors || reached {
 			break
 		}
 		verdict := n.front.calls.executors.Hold(&executor, HoldOrder{}, probeTimeout).Verdict
 		reached = !verdict.MayBeDone() && verdict != cell.Unreached
 	}
-	n.foreign.looked(domain, reached, n.Clock.Now())
+	n.foreignDomains.recordProbe(domain, reached, n.Clock.Now())
 }
--- a/pkg/node/foreign_test.go
+++ b/pkg/node/foreign_test.go
@@ -9,27 +9,27 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A domain that was cut off serves by itself. What was seen of it at a cut says
-// nothing at the next.
-func TestLooksAtADomainBeginAnewAtTheNextCut(t *testing.T) {
+// A domain that is cut off by the network serves by itself. Probes during one network
+// partition must not allow a claim during the next.
+func TestProbesOfADomainStartOverAtTheNextPartition(t *testing.T) {
 	c := qt.New(t)
 	f := newForeignDomains()
 	now := time.Minute
-	claim, look := f.due("far", now)
-	c.Assert(claim, qt.IsFalse)
-	c.Assert(look, qt.IsTrue)
-	f.looked("far", true, now)
-	f.keepOnly([]string{"far"})
-	claim, _ = f.due("far", now+reachableLimit)
-	c.Assert(claim, qt.IsTrue, qt.Commentf("reachable for long enough"))
+	mayClaim, probeDue := f.due("far", now)
+	c.Assert(mayClaim, qt.IsFalse)
+	c.Assert(probeDue, qt.IsTrue)
+	f.recordProbe("far", true, now)
+	f.retainOnly([]string{"far"})
+	mayClaim, _ = f.due("far", now+minReachable)
+	c.Assert(mayClaim, qt.IsTrue, qt.Commentf("reachable for long enough"))
 
-	f.keepOnly(nil) // the domain has an owner of its own again
-	claim, look = f.due("far", now+time.Minute)
-	c.Assert(claim, qt.IsFalse)
-	c.Assert(look, qt.IsTrue)
+	f.retainOnly(nil) // the domain has an owner of its own again
+	mayClaim, probeDue = f.due("far", now+time.Minute)
+	c.Assert(mayClaim, qt.IsFalse)
+	c.Assert(probeDue, qt.IsTrue)
 }
 
-// answeringExecutors answer all holds alike, and no other order.
+// answeringExecutors answers every hold request with the same verdict.
 type answeringExecutors struct {
 	Executors
 	verdict cell.Verdict
@@ -39,9 +39,9 @@
 	return cell.HoldResponse{Verdict: e.verdict}
 }
 
-// An error that the protocol doesn't name may come from what stands before an executor,
-// while the executor itself is out of reach.
-func TestWhichAnswersShowThatADomainCanBeReached(t *testing.T) {
+// An error that the protocol does not define may come from a proxy in front of an executor
+// that is itself unreachable.
+func TestVerdictsThatShowADomainToBeReachable(t *testing.T) {
 	type scenario struct {
 		verdict cell.Verdict
 		want    bool
@@ -62,9 +62,9 @@
 			n := newTestNode(c, &fakeStore{})
 			n.executors.Store(newListing(0, &catalog.Executors{ByID: map[string]catalog.Executor{"a": callable("a", "s")}}, nil, nil))
 			n.front.calls.executors = &answeringExecutors{verdict: s.verdict}
-			n.foreign.due("z", time.Second)
-			n.lookAt("z")
-			c.Assert(n.foreign.domains["z"].since > 0, qt.Equals, s.want)
+			n.foreignDomains.due("z", time.Second)
+			n.probe("z")
+			c.Assert(n.foreignDomains.domains["z"].reachableSince > 0, qt.Equals, s.want)
 		})
 	}
 }
--- a/pkg/node/gauges.go
+++ b/pkg/node/gauges.go
@@ -2,7 +2,7 @@
 
 import "github.com/foxcroft/foxcroft/pkg/metrics"
 
-// gauges reads what a scrape of the metrics shows.
+// gauges returns the current values of the node's gauges for a scrape of the metrics.
 func (n *Node) gauges() metrics.NodeGauges {
 	now := n.Clock.Now()
 	g := metrics.NodeGauges{OpenJobs: int64(n.openJobs()), KeptOpen: int64(n.keeping.Open())}
@@ -21,8 +21,8 @@
 	if closures := n.closures.Load(); closures != nil {
 		g.ClosedDomains = int64(len(closures.Domains))
 	}
-	if n.logDropped != nil {
-		g.LogDropped = int64(n.logDropped())
+	if n.countDroppedLines != nil {
+		g.LogDropped = int64(n.countDroppedLines())
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -30,5 +30,5 @@
 	return g
 }
 
-// CountDroppedLines has the metrics show how many lines the log has dropped.
-func (n *Node) CountDroppedLines(dropped func() uint64) { n.logDropped = dropped }
+// CountDroppedLines sets the function that counts the log lines dropped, for the metrics.
+func (n *Node) CountDroppedLines(dropped func() uint64) { n.countDroppedLines = dropped }
--- a/pkg/node/kept.go
+++ b/pkg/node/kept.go
@@ -7,19 +7,19 @@
 	"github.com/foxcroft/foxcroft/pkg/kept"
 )
 
-// servesKept says whether this version keeps jobs.
+// servesKept is whether this version serves kept jobs: durable jobs that run to
+// completion whether or not their callers wait.
 const servesKept = true
 
-// reasonKeptNotServed tells callers that jobs can't be kept.
 const reasonKeptNotServed = "kept_jobs_not_served"
 
-// notServed is the answer of a version that doesn't keep jobs.
-var notServed = kept.Answer{Verdict: kept.Refused, Reason: reasonKeptNotServed, RetryAfter: comeBack}
+// keptNotServed is the answer of a node that does not serve kept jobs.
+var keptNotServed = kept.Answer{Verdict: kept.Refused, Reason: reasonKeptNotServed, RetryAfter: comeBack}
 
 // Keep implements Service.
 func (n *Node) Keep(ctx context.Context, j *job.Job) kept.Answer {
 	if !n.servesKept {
-		return notServed
+		return keptNotServed
 	}
 	return n.keeping.Keep(ctx, j)
 }
--- a/pkg/node/kept_host.go
+++ b/pkg/node/kept_host.go
@@ -13,25 +13,25 @@
 	"github.com/foxcroft/foxcroft/pkg/peerpb"
 )
 
-// keepersLife is how long it stays worked out who keeps which partition: weights of
-// hosts change without news.
-const keepersLife = time.Second
+// coordinatorsMaxAge is how long the computed coordinators of the partitions are used.
+// Weights of hosts may change without a change of the view's version.
+const coordinatorsMaxAge = time.Second
 
-// keptHost is the node as pkg/keeping needs it.
+// keptHost implements keeping.Host on a node.
 type keptHost struct {
 	node *Node
 
-	mu      sync.Mutex
-	keepers []keeping.CoordinatorHost // by partition
-	version uint64                    // of the view that they were worked out from
-	at      time.Duration
+	mu           sync.Mutex
+	coordinators []keeping.CoordinatorHost // by partition
+	viewVersion  uint64                    // Node.viewVersion when coordinators were computed
+	computedAt   time.Duration
 }
 
 // Settled implements keeping.Host.
 func (h *keptHost) Settled() bool {
 	h.node.mu.Lock()
 	defer h.node.mu.Unlock()
-	return h.node.rowsRead && h.node.Clock.Now() >= startPatience
+	return h.node.rowsRead && h.node.Clock.Now() >= startupGrace
 }
 
 // ViewVersion implements keeping.Host.
@@ -42,50 +42,50 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now, version := h.node.Clock.Now(), h.ViewVersion()
-	if h.keepers == nil || version != h.version || now > h.at+keepersLife {
-		h.keepers, h.version, h.at = h.node.chooseKeepers(), version, now
+	if h.coordinators == nil || version != h.viewVersion || now > h.computedAt+coordinatorsMaxAge {
+		h.coordinators, h.viewVersion, h.computedAt = h.node.chooseCoordinators(), version, now
 	}
-	return h.keepers[partition]
+	return h.coordinators[partition]
 }
 
-// chooseKeepers works out the keepers of all partitions from the hosts in sight. A
-// host that sees none that stays is the keeper itself.
-func (n *Node) chooseKeepers() []keeping.CoordinatorHost {
+// chooseCoordinators computes the coordinators of all partitions from the reachable hosts.
+// When all of them are leaving, this host coordinates every partition itself.
+func (n *Node) chooseCoordinators() []keeping.CoordinatorHost {
 	n.mu.Lock()
 	view := n.ownershipView()
 	hosts := n.withStore(append(view.Up, view.Self))
 	n.mu.Unlock()
-	keepers := make([]keeping.CoordinatorHost, kept.Partitions)
-	for i := range keepers {
+	coordinators := make([]keeping.CoordinatorHost, kept.Partitions)
+	for i := range coordinators {
 		host, ok := ownership.PickByHash(kept.PartOf(i), hosts)
 		if !ok {
 			host = view.Self
 		}
-		keepers[i] = keeping.CoordinatorHost{Address: host.Address, Self: host.Address == n.settings.PeerAddress}
+		coordinators[i] = keeping.CoordinatorHost{Address: host.Address, Self: host.Address == n.settings.PeerAddress}
 	}
-	return keepers
+	return coordinators
 }
 
-// withStore returns the hosts that can reach the store as far as they have told, or all
-// when none can. n.mu is held.
+// withStore returns the hosts that can reach the store, as far as they have reported, or
+// all hosts when none can. n.mu is held.
 func (n *Node) withStore(hosts []ownership.Host) []ownership.Host {
-	var able []ownership.Host
+	var reachable []ownership.Host
 	for _, host := range hosts {
-		fails := n.storeless[host.Address]
+		unreachable := n.storeless[host.Address]
 		if host.Address == n.settings.PeerAddress {
-			fails = n.storeIsOut()
+			unreachable = n.storeIsOut()
 		}
-		if !fails {
-			able = append(able, host)
+		if !unreachable {
+			reachable = append(reachable, host)
 		}
 	}
-	if len(able) == 0 {
+	if len(reachable) == 0 {
 		return hosts
 	}
-	return able
+	return reachable
 }
 
-// storeIsOut reports whether this host can't reach the store.
+// storeIsOut reports whether the store is unreachable from this host.
 func (n *Node) storeIsOut() bool {
 	return n.storeFails.Load() || n.operatorFails.Load() || n.keeping.StoreIsDown()
 }
@@ -103,7 +103,7 @@
 	return h.call(ctx, address, &peerpb.Message{Body: &peerpb.Message_KeptQuery{KeptQuery: m}})
 }
 
-// call makes a call of another keeper. It reports false when nothing was sent.
+// call sends a request to another coordinator. It reports false when nothing was sent.
 func (h *keptHost) call(ctx context.Context, address string, m *peerpb.Message) (kept.Answer, bool) {
 	link := h.node.links.Link(address)
 	if link == nil || !link.Up() {
@@ -179,18 +179,18 @@
 }
 
 // NotifyOwner implements keeping.Host.
-func (h *keptHost) NotifyOwner(ctx context.Context, word keeping.OwnerNotice) ([]string, bool) {
-	claim, ok := h.ownerOf(word.Cell)
+func (h *keptHost) NotifyOwner(ctx context.Context, notice keeping.OwnerNotice) ([]string, bool) {
+	claim, ok := h.ownerOf(notice.Cell)
 	if !ok {
 		return nil, false
 	}
-	m := &peerpb.Noted{Cell: word.Cell, Ids: word.IDs, Cancelled: word.Cancelled, Moved: word.Moved, Progress: uint32(word.Progress)}
+	m := &peerpb.Noted{Cell: notice.Cell, Ids: notice.IDs, Cancelled: notice.Cancelled, Moved: notice.Moved, Progress: uint32(notice.Progress)}
 	if claim.Owner == h.node.settings.PeerAddress {
-		o := h.node.owner(word.Cell)
+		o := h.node.owner(notice.Cell)
 		if o == nil {
 			return nil, false
 		}
-		return o.told(m)
+		return o.handleNotice(m)
 	}
 	link := h.node.links.Link(claim.Owner)
 	if link == nil || !link.Up() {
--- a/pkg/node/kept_messages.go
+++ b/pkg/node/kept_messages.go
@@ -8,10 +8,10 @@
 	"github.com/foxcroft/foxcroft/pkg/peerpb"
 )
 
-// onKeep takes a job that another front wants kept.
+// onKeep handles another node's request to accept a kept job.
 func (n *Node) onKeep(m *peerpb.Keep, reply peer.Reply) {
 	if !n.servesKept {
-		reply(toKeptReply(notServed), 0)
+		reply(toKeptReply(keptNotServed), 0)
 		return
 	}
 	j := jobwire.FromDispatch(m.Job, n.Clock.Now())
@@ -19,25 +19,25 @@
 	go func() { reply(toKeptReply(n.keeping.HandleKeep(m.Job.GetCell(), j, int(m.Hops))), 0) }()
 }
 
-// onKeptQuery tells another front the state of a job, or cancels it.
+// onKeptQuery handles another node's request for the state of a kept job, or to cancel it.
 func (n *Node) onKeptQuery(m *peerpb.KeptQuery, reply peer.Reply) {
 	go func() { reply(toKeptReply(n.keeping.HandleState(m.Id, m.Cancel, int(m.Hops))), 0) }()
 }
 
-// onNoted takes what stands in the rows of kept jobs of a cell. A host that doesn't
-// own the cell says so by a failure.
+// onNoted handles a coordinator's notice about kept jobs of a cell. It replies with a
+// failure when this host does not own the cell.
 func (n *Node) onNoted(m *peerpb.Noted, reply peer.Reply) {
 	o := n.owner(m.Cell)
 	if o == nil {
-		reply(peer.FailureMessage(errkind.New(errkind.NotFound, "tell its owner", "this host does not own cell %s", m.Cell)), 0)
+		reply(peer.FailureMessage(errkind.New(errkind.NotFound, "notify the cell's owner", "this host does not own cell %s", m.Cell)), 0)
 		return
 	}
-	goOn, known := o.told(m)
+	continuing, known := o.handleNotice(m)
 	if !known {
-		reply(peer.FailureMessage(errkind.New(errkind.NotReady, "tell it again", "this host has owned cell %s for too short a time to say what runs there", m.Cell)), 0)
+		reply(peer.FailureMessage(errkind.New(errkind.NotReady, "retry later", "the takeover of cell %s is not complete: runs of its former owner may be unknown here", m.Cell)), 0)
 		return
 	}
-	reply(&peerpb.Message{Body: &peerpb.Message_Noted{Noted: &peerpb.Noted{Cell: m.Cell, Ids: goOn}}}, 0)
+	reply(&peerpb.Message{Body: &peerpb.Message_Noted{Noted: &peerpb.Noted{Cell: m.Cell, Ids: continuing}}}, 0)
 }
 
 func toKeptReply(answer kept.Answer) *peerpb.Message {
--- a/pkg/node/kept_test.go
+++ b/pkg/node/kept_test.go
@@ -11,47 +11,47 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestANodeThatDoesNotKeepJobsSaysSo(t *testing.T) {
+func TestANodeThatDoesNotServeKeptJobsRefusesThem(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
 	n.servesKept = false
 	answer := n.Keep(context.Background(), &job.Job{ID: "a", Kept: true})
-	c.Assert(answer, qt.Equals, notServed)
+	c.Assert(answer, qt.Equals, keptNotServed)
 	c.Assert(answer.Verdict, qt.Equals, kept.Refused)
 	c.Assert(answer.RetryAfter > 0, qt.IsTrue)
 	c.Assert(n.KeptState(context.Background(), "a").Verdict, qt.Equals, kept.NotFound)
 	c.Assert(n.CancelKept(context.Background(), "a").Verdict, qt.Equals, kept.NotFound)
 	var replied *peerpb.Message
 	n.onKeep(&peerpb.Keep{Job: &peerpb.Dispatch{Id: "a", Cell: "z"}}, func(m *peerpb.Message, _ time.Duration) { replied = m })
-	c.Assert(fromKeptReply(replied.GetKeptReply()), qt.Equals, notServed)
+	c.Assert(fromKeptReply(replied.GetKeptReply()), qt.Equals, keptNotServed)
 }
 
-func TestANodeWithoutOwnersInSightRefusesToKeep(t *testing.T) {
+func TestANodeWithoutReachableOwnersRefusesKeptJobs(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
 	n.servesKept = true
 	c.Assert(n.Keep(context.Background(), &job.Job{ID: "a", Kept: true}).Verdict, qt.Equals, kept.Refused)
 }
 
-func TestKeepersAreChosenAmongTheHostsInSight(t *testing.T) {
+func TestCoordinatorsAreChosenAmongReachableHosts(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
 	host := &keptHost{node: n}
-	c.Assert(host.CoordinatorOf(3).Self, qt.IsTrue, qt.Commentf("it is alone"))
+	c.Assert(host.CoordinatorOf(3).Self, qt.IsTrue, qt.Commentf("no other host is reachable"))
 	n.LinkUp("127.0.0.1:2", &peerpb.Hello{Name: "b", Domain: "z", Incarnation: make([]byte, 16), Weight: 1_000_000})
 	others := 0
 	for i := range kept.Partitions {
-		if keeper := host.CoordinatorOf(i); !keeper.Self {
+		if coordinator := host.CoordinatorOf(i); !coordinator.Self {
 			others++
-			c.Assert(keeper.Address, qt.Equals, "127.0.0.1:2")
+			c.Assert(coordinator.Address, qt.Equals, "127.0.0.1:2")
 		}
 	}
-	c.Assert(others, qt.Equals, kept.Partitions, qt.Commentf("the other one is far stronger"))
+	c.Assert(others, qt.Equals, kept.Partitions, qt.Commentf("the other host has far more capacity"))
 	n.LinkDown("127.0.0.1:2")
 	c.Assert(host.CoordinatorOf(3).Self, qt.IsTrue)
 }
 
-func TestKeptAnswersOnTheWire(t *testing.T) {
+func TestKeptReplyRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	answer := kept.Answer{Verdict: kept.Unknown, State: kept.Running, Reason: "store_silent", RetryAfter: comeBack}
 	c.Assert(fromKeptReply(toKeptReply(answer).GetKeptReply()), qt.Equals, answer)
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -23,17 +23,17 @@
 	"github.com/pkg/errors"
 )
 
-// Intervals of the node's own work.
+// Intervals of the node's periodic work.
 const (
-	tickInterval  = 25 * time.Millisecond  // of the cells that are owned
-	claimInterval = 100 * time.Millisecond // of looking for cells without an owner
-	// sideInterval is the same for a node of a large domain that is no hub and owns
-	// nothing: it claims cells only when the hubs don't.
-	sideInterval  = 400 * time.Millisecond
-	linksInterval = time.Second // of looking for addresses that peers no longer tell of
+	tickInterval  = 25 * time.Millisecond  // between ticks of the owned cells
+	claimInterval = 100 * time.Millisecond // between searches for cells without an owner
+	// nonHubClaimInterval replaces claimInterval on a node of a large domain that is no
+	// hub and owns no cell: such a node claims cells only when no hub does.
+	nonHubClaimInterval = 400 * time.Millisecond
+	linkRefreshInterval = time.Second // between updates of the set of links to peers
 )
 
-// Node is one host.
+// Node is the dispatcher process of one host.
 type Node struct {
 	*common.Common
 	settings *settings.Node
@@ -43,28 +43,28 @@
 	meter    *traffic.Meter
 	counters *peer.Counters
 	metrics  *metrics.Node
-	order    func() cell.Order // of jobs in a cell
+	order    func() cell.Order // makes the scheduling order of a cell's jobs
 	links    *peer.Set
 	peers    *peer.Server
 
 	leaving       atomic.Bool
-	readsList     atomic.Bool  // this node should read the executors for its domain, as of the last look
-	isHub         atomic.Bool  // this node may own cells of its domain, as of the last look
-	storeFails    atomic.Bool  // the last reading of the executors failed
-	operatorFails atomic.Bool  // the last look at what operators have changed failed
-	readingSince  atomic.Int64 // since when the executors can be read, as a time of the clock; 0 while they can't
-	listing       sync.Mutex   // guards roster, history and toldAt, held while a reading of the executors is taken in
+	readsList     atomic.Bool  // as of the last check, this node reads the executor list for its domain
+	isHub         atomic.Bool  // as of the last check, this node may own cells of its domain
+	storeFails    atomic.Bool  // the last read of the executor list failed
+	operatorFails atomic.Bool  // the last read of the operators' changes failed
+	readingSince  atomic.Int64 // since when the executor list has been readable, as a time of the clock; 0 while it is not
+	listing       sync.Mutex   // guards roster, history and toldAt; held while a read of the executor list is applied
 	roster        *catalog.Roster
-	toldAt        time.Duration // when the nodes of the domain were last told of it
+	toldAt        time.Duration // when the list was last relayed to the nodes of the domain
 	history       *catalog.History
 	configuration atomic.Pointer[inForce]
 	closures      atomic.Pointer[catalog.Closures]
 	executors     atomic.Pointer[listing]
-	passedAt      atomic.Int64  // when a peer that reads the list was last heard of, as a time of the clock
-	changed       *broadcast    // membership or claims have changed
-	regained      *broadcast    // the store answers again
-	claimed       chan struct{} // asks for a new reading of the executors
-	viewVersion   atomic.Uint64 // rises when hosts have come, gone or begun to leave
+	passedAt      atomic.Int64  // when a message of a peer that reads the list last arrived, as a time of the clock
+	changed       *broadcast    // signals a change of membership or claims
+	regained      *broadcast    // signals that the store answers again
+	claimed       chan struct{} // requests an immediate read of the executor list
+	viewVersion   atomic.Uint64 // increases when a host joins, leaves or begins to leave
 	heartbeats    heartbeats
 	arrivals      *arrivals
 	renewals      *renewals
@@ -77,31 +77,31 @@
 	mu       sync.Mutex // guards what follows
 	members  *member.Table
 	claims   *ownership.Table
-	rows     map[string]Member // the nodes' rows in the store, by name
-	rowsRead bool              // once
+	rows     map[string]Member // the nodes' rows in the store, by node name
+	rowsRead bool              // the nodes' rows have been read at least once
 
-	leadingDomain string // whose reader follows the list of executors for the others, too; empty when not known
+	leadingDomain string // domain whose reader follows the executor list for all domains; empty when not known
 
-	back       bool                     // the own row was there at the first reading
+	back       bool                     // the first read of the rows contained this node's own: it has restarted
 	ownerless  bool                     // a cell of this domain lacks an owner
-	crowded    bool                     // this domain has little room left
-	lastSeen   map[string]time.Duration // when a node of a row was last seen, by name
+	crowded    bool                     // this domain is short of capacity
+	lastSeen   map[string]time.Duration // when the node of a row was last reachable, by node name
 	peerCounts map[string]map[string]int
-	storeless  map[string]bool // nodes that can't read the store, by address
-	readers    map[string]bool // nodes that read the list for their domains, by address
+	storeless  map[string]bool // nodes that cannot read the store, by address
+	readers    map[string]bool // nodes that read the executor list for their domains, by address
 	owners     map[string]*owner
 
-	front      *front
-	keeping    *keeping.Service
-	servesKept bool
-	foreign    *foreignDomains
+	front          *front
+	keeping        *keeping.Service
+	servesKept     bool
+	foreignDomains *foreignDomains
 
-	logDropped func() uint64 // nil when it isn't counted
-	servers    []*http.Server
-	stop       context.CancelFunc
+	countDroppedLines func() uint64 // nil when dropped lines are not counted
+	servers           []*http.Server
+	stop              context.CancelFunc
 }
 
-// NewNode makes a node. Start runs it.
+// NewNode returns a node that has not been started.
 func NewNode(c *common.Common, s *settings.Node, inc once.Incarnation, adapter Adapter, meter *traffic.Meter) (*Node, error) {
 	order, err := cell.Orders.Get(s.Order)
 	if err != nil {
@@ -135,14 +135,14 @@
 	}
 	self := member.Peer{Name: s.Name, Domain: s.Domain, Address: s.PeerAddress, Incarnation: inc}
 	n.members = member.NewTable(self, without(s.Seeds, s.PeerAddress), linksToOtherDomains)
-	n.isHub.Store(true) // until the rows tell otherwise
+	n.isHub.Store(true) // until the nodes' rows have been read
 	n.claims = ownership.NewTable(ownership.DefaultLimits(), c.Clock.Now())
 	link := settings.Link{Heartbeat: s.Heartbeat, SuspectAfter: s.SuspectAfter}
 	n.links = peer.NewSet(c, link, n, n.counters)
 	n.openNews = newOpenNews(s.ResubmitAfter, n.settleTime())
 	n.joins = newJoins()
 	n.front = newFront(n)
-	n.foreign = newForeignDomains()
+	n.foreignDomains = newForeignDomains()
 	instruments, err := metrics.NewNode(n.gauges, meter)
 	if err != nil {
 		return nil, err
@@ -154,10 +154,10 @@
 }
 
 // linksToOtherDomains is the number of links that a node keeps to each other
-// domain, beside those to the owners of its cells.
+// domain, in addition to the links to the owners of that domain's cells.
 const linksToOtherDomains = 3
 
-// without returns the addresses but the own one.
+// without returns the addresses other than own.
 func without(addresses []string, own string) []string {
 	var others []string
 	for _, address := range addresses {
@@ -168,7 +168,7 @@
 	return others
 }
 
-// Start listens and begins to serve.
+// Start opens the node's listeners and starts its background work.
 func (n *Node) Start() error {
 	peerListener, err := net.Listen("tcp", n.settings.PeerListen)
 	if err != nil {
@@ -216,7 +216,6 @@
 	return nil
 }
 
-// metricsPath is where a node's metrics are served.
 const metricsPath = "/metrics"
 
 func metricsHandler(m *metrics.Node) http.Handler {
@@ -231,16 +230,16 @@
 	defaultIdleTimeout   = 15 * time.Second
 )
 
-// configureFront sets the limits of callers' connections: fixed ones, as the
-// server is made before there is a configuration. Of the configuration's limits
-// only that of the body is enforced, by the adapter.
+// configureFront sets the limits of callers' connections. They are constants
+// because the server starts before a configuration is loaded. The adapter
+// enforces the configuration's limit on request bodies.
 func (n *Node) configureFront(server *http.Server) {
 	server.MaxHeaderBytes = defaultHeaderBytes
 	server.IdleTimeout = defaultIdleTimeout
 }
 
-// runCells ticks the cells that this node owns and claims those that lack an
-// owner.
+// runCells ticks the cells that this node owns and claims cells that lack an
+// owner, until ctx ends.
 func (n *Node) runCells(ctx context.Context) {
 	nextClaim, nextLinks := time.Duration(0), time.Duration(0)
 	for {
@@ -248,7 +247,7 @@
 		switch {
 		case n.tickOwners():
 			interval = tickInterval
-		case n.front.dispatches():
+		case n.front.hasDispatched():
 			interval = renewInterval
 		}
 		if now := n.Clock.Now(); now >= nextClaim {
@@ -259,13 +258,13 @@
 			n.noticeHub()
 			n.noticeReader()
 			n.dropSilentFronts(now)
-			nextClaim = now + n.claimPause()
+			nextClaim = now + n.nextClaimDelay()
 		}
 		n.renewJobs(n.Clock.Now())
 		n.tellOpenJobs(n.Clock.Now())
 		if now := n.Clock.Now(); now >= nextLinks {
 			n.refreshLinks()
-			nextLinks = now + linksInterval
+			nextLinks = now + linkRefreshInterval
 		}
 		if !common.Sleep(ctx, interval) {
 			return
@@ -273,13 +272,13 @@
 	}
 }
 
-// claimPause returns how long to wait before the next look for cells without an
-// owner. The end of a link to an owner is looked at without delay.
-func (n *Node) claimPause() time.Duration {
+// nextClaimDelay returns how long to wait before the next search for cells without
+// an owner. LinkDown starts a search at once when the link to an owner ends.
+func (n *Node) nextClaimDelay() time.Duration {
 	if n.isHub.Load() || len(n.allOwners()) > 0 {
 		return claimInterval
 	}
-	return sideInterval
+	return nonHubClaimInterval
 }
 
 func (n *Node) tickOwners() bool {
--- a/pkg/node/owner.go
+++ b/pkg/node/owner.go
@@ -12,50 +12,50 @@
 )
 
 const (
-	// keepOutcomes is how long an owner answers for a job that has ended, for
-	// a front that lost the answer.
+	// keepOutcomes is how long an owner keeps the outcome of an ended job, for
+	// a front that did not receive the answer.
 	keepOutcomes = 5 * time.Second
-	// longestGap between two looks at a cell after which this process must
-	// have stood still.
+	// longestGap is the longest time between two events of a cell that does not
+	// count as a stall of this process.
 	longestGap = 400 * time.Millisecond
-	// afterGap is how long a cell then starts nothing, so that what others
-	// have concluded from the silence can be heard.
-	afterGap = 300 * time.Millisecond
+	// pauseAfterStall is how long a cell starts nothing after a stall, so that messages
+	// of peers that took this process for dead can arrive.
+	pauseAfterStall = 300 * time.Millisecond
 )
 
-// reply hands the outcome of a job to one that waits for it.
+// reply delivers the outcome of a job to a waiter.
 type reply func(job.Outcome)
 
-// waiter is a front that waits for a job.
+// waiter is a front that waits for the outcome of a job.
 type waiter struct {
-	front      string        // address of its node for peers
-	connection *peerpb.Hello // the connection on which the job came; nil for this host's own
+	front      string        // peer address of its node
+	connection *peerpb.Hello // connection on which the job arrived; nil for this host's own front
 	reply      reply
 }
 
-// ended is the outcome of a job, remembered for a while.
-type ended struct {
+// endedOutcome is the outcome of a job that has ended, and when to discard it.
+type endedOutcome struct {
 	outcome job.Outcome
 	until   time.Duration
 }
 
-// owner runs a cell: it feeds events into the decisions and carries out what
-// they ask for.
+// owner runs a cell that this node leads: it passes events to the cell's state
+// machine and executes the commands that result.
 type owner struct {
-	node      *Node
-	cell      string
-	token     int64
-	claimedAt time.Duration
-	former    string // address of the owner before, which is told once its executors are fenced; empty when none
+	node        *Node
+	cell        string
+	token       int64
+	claimedAt   time.Duration
+	formerOwner string // address of the previous owner, which is notified once the executors are fenced; empty when none
 
-	mu      sync.Mutex
-	state   *cell.Cell
-	waiters map[string][]waiter // by job id
-	ended   map[string]ended
-	kept    keptHere
-	lastRun time.Duration
-	settled bool // the executors obey this owner alone
-	over    bool
+	mu               sync.Mutex
+	state            *cell.Cell
+	waiters          map[string][]waiter // by job id
+	ended            map[string]endedOutcome
+	kept             keptJobs
+	lastRun          time.Duration
+	takeoverComplete bool // the executors obey this owner only
+	stopped          bool // fenced or released: no longer owns the cell
 }
 
 func newOwner(n *Node, cellName string, token int64, now time.Duration) *owner {
@@ -66,22 +66,23 @@
 		claimedAt: now,
 		state:     cell.New(n.cellParams(), token, now),
 		waiters:   map[string][]waiter{},
-		ended:     map[string]ended{},
-		kept:      newKeptHere(),
+		ended:     map[string]endedOutcome{},
+		kept:      newKeptJobs(),
 		lastRun:   now,
 	}
 }
 
-// do feeds one event into the cell and carries out what comes of it.
+// do applies one event to the cell, and executes the commands, sends the replies and logs
+// the notices that result.
 func (o *owner) do(event func(state *cell.Cell, now time.Duration)) {
 	o.mu.Lock()
 	now := o.node.Clock.Now()
-	o.noticeGap(now)
+	o.pauseIfStalled(now)
 	event(o.state, now)
 	commands, finished, notices := o.state.TakeActions()
-	replies := o.settle(finished, now)
-	fenced := o.state.Fenced() && !o.over
-	o.over = o.over || fenced
+	replies := o.recordOutcomes(finished, now)
+	fenced := o.state.Fenced() && !o.stopped
+	o.stopped = o.stopped || fenced
 	o.mu.Unlock()
 	for _, notice := range notices {
 		o.log(notice)
@@ -97,37 +98,38 @@
 	}
 }
 
-// noticeGap pauses the cell when this process has stood still.
-func (o *owner) noticeGap(now time.Duration) {
+// pauseIfStalled pauses the cell after a stall of this process. o.mu is held.
+func (o *owner) pauseIfStalled(now time.Duration) {
 	gap := now - o.lastRun
 	o.lastRun = now
 	if gap > longestGap {
 		o.node.Log.Warn("owner_stood_still", "cell", o.cell, "gap_ms", gap.Milliseconds())
-		o.state.Pause(now + afterGap)
+		o.state.Pause(now + pauseAfterStall)
 	}
 }
 
-// settle matches ended jobs with those that wait for them.
-func (o *owner) settle(finished []cell.Finished, now time.Duration) []func() {
+// recordOutcomes stores the outcomes of ended jobs and returns the replies to their
+// waiters. o.mu is held.
+func (o *owner) recordOutcomes(finished []cell.Finished, now time.Duration) []func() {
 	var replies []func()
 	for _, f := range finished {
 		for _, w := range o.waiters[f.ID] {
 			replies = append(replies, func() { w.reply(f.Outcome) })
 		}
 		delete(o.waiters, f.ID)
-		if f.Outcome.Kind != job.Moved && f.Outcome.Kind != job.Refused { // these may come again
-			o.ended[f.ID] = ended{outcome: f.Outcome, until: now + o.kept.remembers(f.ID)}
+		if f.Outcome.Kind != job.Moved && f.Outcome.Kind != job.Refused { // these may be submitted again
+			o.ended[f.ID] = endedOutcome{outcome: f.Outcome, until: now + o.kept.outcomeRetention(f.ID)}
 		}
-		o.kept.drop(f.ID)
+		o.kept.remove(f.ID)
 	}
 	return replies
 }
 
-// submit takes a job from a front.
+// submit accepts a job from a front, or answers it at once if its outcome is known here.
 func (o *owner) submit(handover cell.Handover, w waiter) {
 	id := handover.Job.ID
 	o.mu.Lock()
-	if o.over {
+	if o.stopped {
 		o.mu.Unlock()
 		w.reply(job.Outcome{Kind: job.Moved, Reason: reasonNotOwner})
 		return
@@ -139,7 +141,7 @@
 	}
 	if o.kept.isCancelled(id, o.node.Clock.Now()) {
 		o.mu.Unlock()
-		w.reply(cancelledHere)
+		w.reply(keptCancelled)
 		return
 	}
 	if handover.Job.Kept {
@@ -152,16 +154,16 @@
 	})
 }
 
-// renew extends the leases of the jobs that came on a connection. What a front
-// had under way on an earlier one has failed there: it has handed the job in
-// again, or its withdrawal may have been lost.
+// renew extends the leases of the jobs that arrived on a connection. Jobs of the
+// same front's earlier connections are not renewed: the front has submitted them
+// again, or has withdrawn them and the withdrawal may have been lost.
 func (o *owner) renew(connection *peerpb.Hello, at time.Duration) {
 	o.do(func(state *cell.Cell, now time.Duration) {
 		state.Renew(o.renewedBy(connection), at, now)
 	})
 }
 
-// renewedBy returns the ids of the jobs that a connection renews. o.mu is held.
+// renewedBy returns the ids of the jobs that arrived on a connection. o.mu is held.
 func (o *owner) renewedBy(connection *peerpb.Hello) []string {
 	var ids []string
 	for id, waiters := range o.waiters {
@@ -172,10 +174,10 @@
 	return ids
 }
 
-// withdraw takes back the wish of a front. The job ends once nobody waits, unless it is
-// kept.
+// withdraw removes a front's waiters for a job. Once a job has no waiters, it ends,
+// unless it is a kept job.
 func (o *owner) withdraw(id, front, reason string) {
-	taken, last := o.takeWaiters(id, front)
+	taken, last := o.removeWaiters(id, front)
 	if len(taken) == 0 {
 		o.node.Log.Info("job_not_withdrawn", "job", id, "cell", o.cell, "reason", reason, "front", front)
 		return
@@ -186,7 +188,7 @@
 	if last {
 		o.do(func(state *cell.Cell, now time.Duration) {
 			progress = state.Progress(id)
-			if !o.kept.here[id] {
+			if !o.kept.inCell[id] {
 				state.Withdraw(id, reason, now)
 			}
 		})
@@ -194,33 +196,33 @@
 	if reason != reasonFrontSilent {
 		return
 	}
-	// It may be alive after all, and would wait for an answer for nothing.
+	// An unresponsive front may still be alive, and would wait for an answer that never comes.
 	for _, w := range taken {
 		w.reply(job.Outcome{Kind: job.Moved, Reason: reason, Started: true, Progress: progress})
 	}
 }
 
-// takeWaiters removes those of a front's that wait for a job, and reports
-// whether nobody else does.
-func (o *owner) takeWaiters(id, front string) (taken []waiter, last bool) {
+// removeWaiters removes and returns a front's waiters for a job, and reports whether
+// the job has no other waiters.
+func (o *owner) removeWaiters(id, front string) (taken []waiter, last bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	kept := o.waiters[id][:0]
+	remaining := o.waiters[id][:0]
 	for _, w := range o.waiters[id] {
 		if w.front == front {
 			taken = append(taken, w)
 			continue
 		}
-		kept = append(kept, w)
+		remaining = append(remaining, w)
 	}
-	o.waiters[id] = kept
-	if len(kept) == 0 {
+	o.waiters[id] = remaining
+	if len(remaining) == 0 {
 		delete(o.waiters, id)
 	}
-	return taken, len(kept) == 0
+	return taken, len(remaining) == 0
 }
 
-// fronts returns the addresses of the other nodes that wait for jobs.
+// fronts returns the addresses of the other nodes whose fronts wait for jobs.
 func (o *owner) fronts() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -237,8 +239,8 @@
 	return fronts
 }
 
-// frontGone takes back all wishes of a front that is gone or silent: it will
-// hand its jobs to an owner again, or its callers will.
+// frontGone withdraws all jobs of a front that is disconnected or unresponsive. The
+// front, or its callers, will submit them again.
 func (o *owner) frontGone(front, reason string) {
 	o.mu.Lock()
 	var ids []string
@@ -256,7 +258,7 @@
 	}
 }
 
-// tick lets time pass and reports whether it matters.
+// tick advances the cell to the current time and reports whether it has jobs or runs.
 func (o *owner) tick() bool {
 	busy := false
 	o.do(func(state *cell.Cell, now time.Duration) {
@@ -269,24 +271,24 @@
 		}
 		o.kept.expire(now)
 	})
-	o.tellCheckpoints()
-	o.noticeSettled()
+	o.reportCheckpoints()
+	o.checkTakeover()
 	return busy
 }
 
-// noticeSettled notes once that the claim has held, and has the former owner
-// give its jobs back, as its executors no longer listen to it.
-func (o *owner) noticeSettled() {
+// checkTakeover detects that the takeover is complete, and then tells the former owner to
+// return its jobs to their fronts.
+func (o *owner) checkTakeover() {
 	o.mu.Lock()
-	news := !o.settled && !o.over && o.state.IsTakeoverComplete(o.node.Clock.Now())
-	o.settled = o.settled || news
+	completed := !o.takeoverComplete && !o.stopped && o.state.IsTakeoverComplete(o.node.Clock.Now())
+	o.takeoverComplete = o.takeoverComplete || completed
 	o.mu.Unlock()
-	if !news {
+	if !completed {
 		return
 	}
 	o.node.claimHeld(o.cell)
-	if o.former != "" {
-		o.node.sendHandOver(o.former, o.cell, o.token)
+	if o.formerOwner != "" {
+		o.node.sendHandOver(o.formerOwner, o.cell, o.token)
 	}
 }
 
@@ -303,7 +305,7 @@
 	})
 }
 
-// followClosures has the cell start nothing while its domain is closed.
+// followClosures tells the cell whether its domain is closed; a closed cell starts nothing.
 func (o *owner) followClosures() {
 	domain := ownership.DomainOf(o.cell)
 	o.do(func(state *cell.Cell, now time.Duration) {
@@ -311,7 +313,7 @@
 	})
 }
 
-// busy reports whether the cell has work or runs.
+// busy reports whether the cell has jobs or runs.
 func (o *owner) busy() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -324,10 +326,10 @@
 	return o.state.Load(now)
 }
 
-// release hands all jobs back.
+// release returns all jobs to their fronts and ends this ownership.
 func (o *owner) release(reason string) {
 	o.do(func(state *cell.Cell, _ time.Duration) {
-		o.over = true
+		o.stopped = true
 		state.Release(reason)
 	})
 }
@@ -337,7 +339,7 @@
 		"detail", notice.Detail, "age_ms", notice.Age.Milliseconds())
 }
 
-// owner returns the owner of a cell, or nil when another node has it.
+// owner returns this node's owner of a cell, or nil when it does not own the cell.
 func (n *Node) owner(cellName string) *owner {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/pkg/node/owner_kept.go
+++ b/pkg/node/owner_kept.go
@@ -9,50 +9,51 @@
 )
 
 const (
-	// keepUnnoted is how long an owner answers for a kept job that has ended and whose
-	// keeper hasn't said that the end lasts: as long as the executors know of its tasks,
-	// and as long as for any job after that.
-	keepUnnoted = cell.UnpersistedEndRetention + keepOutcomes
-	// keepCancelled is how long an owner refuses a kept job that was cancelled: a keeper
-	// that hands it over later has read its row since.
-	keepCancelled = 20 * time.Second
+	// unpersistedOutcomeRetention is how long an owner keeps the outcome of a kept job
+	// whose end is not confirmed as persisted: while the executors still list the ends of
+	// its tasks, and then as long as for any other job.
+	unpersistedOutcomeRetention = cell.UnpersistedEndRetention + keepOutcomes
+	// cancellationRetention is how long an owner refuses a cancelled kept job. A coordinator
+	// that submits the job later than that has read the cancellation from its row.
+	cancellationRetention = 20 * time.Second
 )
 
-// reasonKeptCancelled marks a kept job that was cancelled, for a keeper that doesn't
-// know it yet.
+// reasonKeptCancelled tells a coordinator that does not know it yet that a kept job
+// was cancelled.
 const reasonKeptCancelled = keeping.ReasonCancelled
 
-// cancelledHere is what waiters are told for a kept job that was cancelled.
-var cancelledHere = job.Outcome{Kind: job.Moved, Reason: reasonKeptCancelled}
+// keptCancelled is the outcome that waiters for a cancelled kept job get.
+var keptCancelled = job.Outcome{Kind: job.Moved, Reason: reasonKeptCancelled}
 
-// keptHere is what an owner remembers of kept jobs beside their outcomes. The owner's
-// lock guards it.
-type keptHere struct {
-	here      map[string]bool          // jobs in the cell; they go on though nobody waits
-	cancelled map[string]time.Duration // by id: until when that is remembered
+// keptJobs is an owner's state of kept jobs, except for their outcomes. The owner's
+// mutex guards it.
+type keptJobs struct {
+	inCell    map[string]bool          // jobs in the cell; they go on without waiters
+	cancelled map[string]time.Duration // by id: until when the job is refused
 
-	nextCheckpoint time.Duration // when progress is looked for next
+	nextCheckpoint time.Duration // when progress is reported next
 }
 
-func newKeptHere() keptHere {
-	return keptHere{here: map[string]bool{}, cancelled: map[string]time.Duration{}}
+func newKeptJobs() keptJobs {
+	return keptJobs{inCell: map[string]bool{}, cancelled: map[string]time.Duration{}}
 }
 
-func (k *keptHere) add(id string)  { k.here[id] = true }
-func (k *keptHere) drop(id string) { delete(k.here, id) }
+func (k *keptJobs) add(id string)    { k.inCell[id] = true }
+func (k *keptJobs) remove(id string) { delete(k.inCell, id) }
 
-// remembers returns how long the outcome of a job that is still listed as here stays.
-func (k *keptHere) remembers(id string) time.Duration {
-	if k.here[id] {
-		return keepUnnoted
+// outcomeRetention returns how long to keep the outcome of a job that ends now. It must be
+// called before remove.
+func (k *keptJobs) outcomeRetention(id string) time.Duration {
+	if k.inCell[id] {
+		return unpersistedOutcomeRetention
 	}
 	return keepOutcomes
 }
 
-func (k *keptHere) isCancelled(id string, now time.Duration) bool { return now < k.cancelled[id] }
+func (k *keptJobs) isCancelled(id string, now time.Duration) bool { return now < k.cancelled[id] }
 
-// expire forgets what is old.
-func (k *keptHere) expire(now time.Duration) {
+// expire removes cancellations whose time is over.
+func (k *keptJobs) expire(now time.Duration) {
 	for id, until := range k.cancelled {
 		if now >= until {
 			delete(k.cancelled, id)
@@ -60,35 +61,35 @@
 	}
 }
 
-// noted takes that the ends of kept jobs last at the platform. With cancelled they end
-// here and now, whoever waits for them.
-func (o *owner) noted(ids []string, cancelled bool) {
-	var told []reply
+// recordPersisted records that the ends of kept jobs are persisted in the store. Cancelled
+// jobs end here at once, and their waiters are answered.
+func (o *owner) recordPersisted(ids []string, cancelled bool) {
+	var replies []reply
 	o.do(func(state *cell.Cell, now time.Duration) {
 		for _, id := range ids {
 			if cancelled {
-				told = append(told, o.cancelKept(state, id, now)...)
+				replies = append(replies, o.cancelKept(state, id, now)...)
 			} else if known, ok := o.ended[id]; ok {
-				o.ended[id] = ended{outcome: known.outcome, until: now + keepOutcomes}
+				o.ended[id] = endedOutcome{outcome: known.outcome, until: now + keepOutcomes}
 			}
 		}
 		state.EndsPersisted(ids, now)
 	})
-	for _, tell := range told {
-		tell(cancelledHere)
+	for _, reply := range replies {
+		reply(keptCancelled)
 	}
 }
 
-// cancelKept ends a kept job and returns those who waited for it. o.mu is held.
+// cancelKept ends a kept job and returns the replies of its waiters. o.mu is held.
 func (o *owner) cancelKept(state *cell.Cell, id string, now time.Duration) []reply {
-	o.kept.cancelled[id] = now + keepCancelled
-	o.kept.drop(id)
+	o.kept.cancelled[id] = now + cancellationRetention
+	o.kept.remove(id)
 	state.Withdraw(id, reasonKeptCancelled, now)
-	var told []reply
+	var replies []reply
 	for _, w := range o.waiters[id] {
-		told = append(told, w.reply)
+		replies = append(replies, w.reply)
 	}
 	delete(o.waiters, id)
 	delete(o.ended, id)
-	return told
+	return replies
 }
--- a/pkg/node/owner_kept_test.go
+++ b/pkg/node/owner_kept_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// keptOwnerTest is an owner without executors and what its waiters are told.
+// keptOwnerTest is an owner without executors, and the outcomes that its waiters got.
 type keptOwnerTest struct {
 	owner    *owner
 	outcomes []job.Outcome
@@ -23,24 +23,24 @@
 func (k *keptOwnerTest) submit(id string, kept bool) {
 	now := k.owner.node.Clock.Now()
 	j := &job.Job{ID: id, Service: "s", Kept: kept, Steps: []job.Step{{Count: 1}}, Received: now, Deadline: now + time.Hour}
-	w := waiter{front: "keeper:1", reply: func(outcome job.Outcome) { k.outcomes = append(k.outcomes, outcome) }}
+	w := waiter{front: "coordinator:1", reply: func(outcome job.Outcome) { k.outcomes = append(k.outcomes, outcome) }}
 	k.owner.submit(cell.Handover{Job: j, Epoch: 1, RenewedAt: now}, w)
 }
 
-// end ends a job at its owner as the cell does.
+// end ends a job as if the cell had reported its outcome.
 func (k *keptOwnerTest) end(id string, kind job.Kind) {
 	o := k.owner
 	o.mu.Lock()
 	o.state.Withdraw(id, "test", o.node.Clock.Now())
-	replies := o.settle([]cell.Finished{{ID: id, Outcome: job.Outcome{Kind: kind}}}, o.node.Clock.Now())
+	replies := o.recordOutcomes([]cell.Finished{{ID: id, Outcome: job.Outcome{Kind: kind}}}, o.node.Clock.Now())
 	o.mu.Unlock()
 	for _, answer := range replies {
 		answer()
 	}
 }
 
-// pass has what the owner remembers get older.
-func (k *keptOwnerTest) pass(d time.Duration) {
+// age makes the outcomes and cancellations that the owner stores older by d.
+func (k *keptOwnerTest) age(d time.Duration) {
 	o := k.owner
 	o.mu.Lock()
 	for id, e := range o.ended {
@@ -54,7 +54,9 @@
 	o.tick()
 }
 
-func TestAKeptJobGoesOnWithoutItsKeeper(t *testing.T) {
+// A kept job must continue at its owner when its coordinator fails, and the next
+// coordinator must get its outcome.
+func TestAKeptJobContinuesWithoutItsCoordinator(t *testing.T) {
 	type scenario struct {
 		testName string
 		kept     bool
@@ -62,43 +64,43 @@
 		answers  int
 	}
 	scenarios := []scenario{
-		{testName: "its keeper is gone", kept: true, reason: reasonFrontGone},
-		{testName: "its keeper is silent", kept: true, reason: reasonFrontSilent, answers: 1},
-		{testName: "a job that isn't kept", reason: reasonFrontGone},
+		{testName: "its coordinator is disconnected", kept: true, reason: reasonFrontGone},
+		{testName: "its coordinator is unresponsive", kept: true, reason: reasonFrontSilent, answers: 1},
+		{testName: "not a kept job", reason: reasonFrontGone},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			k := newKeptOwnerTest(c)
 			k.submit("a", s.kept)
-			k.owner.frontGone("keeper:1", s.reason)
+			k.owner.frontGone("coordinator:1", s.reason)
 			c.Assert(k.outcomes, qt.HasLen, s.answers)
 			c.Assert(k.owner.busy(), qt.Equals, s.kept)
 			c.Assert(k.owner.fronts(), qt.HasLen, 0)
 			k.end("a", job.Completed)
 			k.submit("a", s.kept)
-			c.Assert(k.outcomes, qt.HasLen, s.answers+1, qt.Commentf("the next keeper gets the outcome"))
+			c.Assert(k.outcomes, qt.HasLen, s.answers+1, qt.Commentf("the next coordinator gets the outcome"))
 			c.Assert(k.outcomes[s.answers].Kind, qt.Equals, job.Completed)
 		})
 	}
 }
 
-func TestHowLongTheOutcomeOfAJobStays(t *testing.T) {
+func TestRetentionOfOutcomes(t *testing.T) {
 	type scenario struct {
-		testName string
-		kept     bool
-		noted    bool
-		after    time.Duration
-		stays    bool
+		testName  string
+		kept      bool
+		persisted bool
+		after     time.Duration
+		stays     bool
 	}
-	const moment = 100 * time.Millisecond
+	const margin = 100 * time.Millisecond
 	scenarios := []scenario{
-		{testName: "a job that isn't kept", after: keepOutcomes - moment, stays: true},
-		{testName: "a job that isn't kept, later", after: keepOutcomes + moment},
-		{testName: "a kept one whose end may not last", kept: true, after: keepUnnoted - moment, stays: true},
-		{testName: "a kept one of which no keeper has said a word", kept: true, after: keepUnnoted + moment},
-		{testName: "a kept one whose end lasts", kept: true, noted: true, after: keepOutcomes - moment, stays: true},
-		{testName: "a kept one whose end lasts, later", kept: true, noted: true, after: keepOutcomes + moment},
+		{testName: "not a kept job, just before the limit", after: keepOutcomes - margin, stays: true},
+		{testName: "not a kept job, just after the limit", after: keepOutcomes + margin},
+		{testName: "kept, end not persisted, just before the limit", kept: true, after: unpersistedOutcomeRetention - margin, stays: true},
+		{testName: "kept, end not persisted, just after the limit", kept: true, after: unpersistedOutcomeRetention + margin},
+		{testName: "kept, end persisted, just before the limit", kept: true, persisted: true, after: keepOutcomes - margin, stays: true},
+		{testName: "kept, end persisted, just after the limit", kept: true, persisted: true, after: keepOutcomes + margin},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -107,10 +109,10 @@
 			k.submit("a", s.kept)
 			k.end("a", job.Failed)
 			c.Assert(k.outcomes, qt.HasLen, 1)
-			if s.noted {
-				k.owner.noted([]string{"a", "unknown"}, false)
+			if s.persisted {
+				k.owner.recordPersisted([]string{"a", "unknown"}, false)
 			}
-			k.pass(s.after)
+			k.age(s.after)
 			k.submit("a", s.kept)
 			c.Assert(len(k.outcomes) == 2, qt.Equals, s.stays)
 		})
@@ -124,10 +126,10 @@
 		waiters  int
 	}
 	scenarios := []scenario{
-		{testName: "is here", before: func(k *keptOwnerTest) { k.submit("a", true) }, waiters: 1},
-		{testName: "has two keepers", before: func(k *keptOwnerTest) { k.submit("a", true); k.submit("a", true) }, waiters: 2},
-		{testName: "comes later", before: func(*keptOwnerTest) {}},
-		{testName: "has ended", before: func(k *keptOwnerTest) {
+		{testName: "queued here", before: func(k *keptOwnerTest) { k.submit("a", true) }, waiters: 1},
+		{testName: "submitted by two coordinators", before: func(k *keptOwnerTest) { k.submit("a", true); k.submit("a", true) }, waiters: 2},
+		{testName: "submitted after the cancellation", before: func(*keptOwnerTest) {}},
+		{testName: "has ended here", before: func(k *keptOwnerTest) {
 			k.submit("a", true)
 			k.end("a", job.Completed)
 			k.outcomes = nil
@@ -138,23 +140,23 @@
 			c := qt.New(t)
 			k := newKeptOwnerTest(c)
 			s.before(k)
-			k.owner.noted([]string{"a"}, true)
+			k.owner.recordPersisted([]string{"a"}, true)
 			c.Assert(k.outcomes, qt.HasLen, s.waiters)
-			c.Assert(k.owner.state.Waiting()[""], qt.Equals, 0, qt.Commentf("it isn't in the cell"))
+			c.Assert(k.owner.state.Waiting()[""], qt.Equals, 0, qt.Commentf("the job is not in the cell"))
 			k.submit("a", true)
 			c.Assert(k.outcomes, qt.HasLen, s.waiters+1)
 			for _, outcome := range k.outcomes {
 				c.Assert(outcome.Kind, qt.Equals, job.Moved)
 				c.Assert(outcome.Reason, qt.Equals, reasonKeptCancelled)
 			}
-			k.pass(keepCancelled)
+			k.age(cancellationRetention)
 			k.submit("a", true)
-			c.Assert(k.outcomes, qt.HasLen, s.waiters+1, qt.Commentf("it is taken again"))
+			c.Assert(k.outcomes, qt.HasLen, s.waiters+1, qt.Commentf("the job is accepted again"))
 		})
 	}
 }
 
-// What an owner remembers of kept jobs goes with them.
+// An owner must not accumulate state of kept jobs that have ended.
 func TestAnOwnerForgetsKeptJobs(t *testing.T) {
 	c := qt.New(t)
 	k := newKeptOwnerTest(c)
@@ -163,9 +165,9 @@
 	k.submit("c", true)
 	k.end("a", job.Completed)
 	k.end("b", job.Moved)
-	k.owner.noted([]string{"c"}, true)
-	k.pass(time.Hour)
-	c.Assert(k.owner.kept.here, qt.HasLen, 0)
+	k.owner.recordPersisted([]string{"c"}, true)
+	k.age(time.Hour)
+	c.Assert(k.owner.kept.inCell, qt.HasLen, 0)
 	c.Assert(k.owner.kept.cancelled, qt.HasLen, 0)
 	c.Assert(k.owner.ended, qt.HasLen, 0)
 	c.Assert(k.owner.waiters, qt.HasLen, 0)
--- /dev/null
+++ b/pkg/node/owner_notices.go
@@ -0,0 +1,88 @@
+package node
+
+import (
+	"time"
+
+	"github.com/foxcroft/foxcroft/pkg/cell"
+	"github.com/foxcroft/foxcroft/pkg/job"
+	"github.com/foxcroft/foxcroft/pkg/keeping"
+	"github.com/foxcroft/foxcroft/pkg/peerpb"
+)
+
+// handleNotice applies a coordinator's notice about the rows of kept jobs. It returns
+// those of the moved jobs that continue here, and false when that is not known yet.
+func (o *owner) handleNotice(m *peerpb.Noted) ([]string, bool) {
+	switch {
+	case m.Moved:
+		return o.releaseMoved(m.Ids)
+	case m.Progress > 0:
+		o.do(func(state *cell.Cell, now time.Duration) {
+			for _, id := range m.Ids {
+				state.CheckpointPersisted(id, int(m.Progress), now)
+			}
+		})
+		return nil, true
+	}
+	o.recordPersisted(m.Ids, m.Cancelled)
+	return nil, true
+}
+
+// reasonKeptMoved marks a kept job that was moved to another cell.
+const reasonKeptMoved = "kept_moved"
+
+// releaseMoved releases kept jobs that were moved to another cell, and returns those that
+// stay because a task of them has run or ended here. Until the takeover of this cell is
+// complete, it releases none and reports false: unknown runs of the former owner may be
+// alive, and the other cell would run the same tasks a second time.
+func (o *owner) releaseMoved(ids []string) ([]string, bool) {
+	var continuing []string
+	var replies []reply
+	complete := false
+	o.do(func(state *cell.Cell, now time.Duration) {
+		if complete = !o.stopped && state.IsTakeoverComplete(now); !complete {
+			return
+		}
+		for _, id := range ids {
+			if _, ended := o.ended[id]; ended || len(state.Progress(id)) > 0 || state.HasRunsOf(id) {
+				continuing = append(continuing, id)
+				continue
+			}
+			for _, w := range o.waiters[id] {
+				replies = append(replies, w.reply)
+			}
+			delete(o.waiters, id)
+			o.kept.remove(id)
+			state.Withdraw(id, reasonKeptMoved, now)
+			state.EndsPersisted([]string{id}, now) // the job's row holds the tasks that have ended here
+		}
+	})
+	for _, reply := range replies {
+		reply(job.Outcome{Kind: job.Moved, Reason: reasonKeptMoved})
+	}
+	return continuing, complete
+}
+
+// checkpointInterval is how often an owner checks kept jobs for progress to persist.
+const checkpointInterval = 250 * time.Millisecond
+
+// reportCheckpoints answers the coordinators of kept jobs that have made progress, so that
+// they persist it. The jobs go on, and the coordinators submit them again at once.
+func (o *owner) reportCheckpoints() {
+	var replies []func()
+	o.do(func(state *cell.Cell, now time.Duration) {
+		if now < o.kept.nextCheckpoint {
+			return
+		}
+		o.kept.nextCheckpoint = now + checkpointInterval
+		for _, checkpoint := range state.Checkpoints(now) {
+			outcome := job.Outcome{Kind: job.Moved, Reason: keeping.ReasonProgress, Started: true, Progress: checkpoint.Progress}
+			for _, w := range o.waiters[checkpoint.ID] {
+				replies = append(replies, func() { w.reply(outcome) })
+			}
+			delete(o.waiters, checkpoint.ID)
+		}
+	})
+	for _, reply := range replies {
+		reply()
+	}
+}
--- a/pkg/node/owner_test.go
+++ b/pkg/node/owner_test.go
@@ -9,9 +9,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A refused caller is told when to come back, and a part that was refused is
-// handed in again: both get a new judgement, not the old answer.
-func TestARefusedJobMayComeAgain(t *testing.T) {
+// A refused job may be submitted again, by its caller or as a part of a split job. The
+// owner must decide anew and not repeat the earlier refusal.
+func TestARefusedJobMayBeSubmittedAgain(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
 	o := newOwner(n, "cell", 1, n.Clock.Now())
@@ -27,6 +27,6 @@
 	c.Assert(outcomes, qt.HasLen, 1)
 	c.Assert(outcomes[0].Kind, qt.Equals, job.Refused)
 	submit(time.Minute)
-	c.Assert(outcomes, qt.HasLen, 1, qt.Commentf("it waits for room"))
+	c.Assert(outcomes, qt.HasLen, 1, qt.Commentf("the job waits for capacity"))
 	c.Assert(o.state.Busy(), qt.IsTrue)
 }
--- a/pkg/node/pack_test.go
+++ b/pkg/node/pack_test.go
@@ -7,14 +7,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestPackedNewsComeBack(t *testing.T) {
+func TestPackRoundTrip(t *testing.T) {
 	type scenario struct {
 		testName string
 		body     []byte
 		atMost   int // bytes
 	}
 	scenarios := []scenario{
-		{testName: "nothing", atMost: 64},
+		{testName: "empty", atMost: 64},
 		{testName: "a large configuration", body: bytes.Repeat([]byte(`{"name":"r-a7","host":"h.example","priority":1},`), 1500), atMost: 8_000},
 	}
 	for _, s := range scenarios {
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestUnpackRefusesWhatIsNotPacked(t *testing.T) {
+func TestUnpackRejectsUncompressedInput(t *testing.T) {
 	c := qt.New(t)
 	_, err := unpack([]byte("{}"))
 	c.Assert(err, qt.IsNotNil)
--- a/pkg/node/params.go
+++ b/pkg/node/params.go
@@ -7,18 +7,18 @@
 	"github.com/foxcroft/foxcroft/pkg/settings"
 )
 
-// Callers send a job again some time after their connection has broken. By then no
-// run of the first submission may be alive, which the job's lease at its owner
-// ensures, whoever has died. These have its runs end sooner after a single death, so
-// that their room is free.
+// Callers submit a job again ResubmitAfter after their connection has broken.
+// The job's lease at its owner ensures that no run of the first submission is alive then,
+// whichever hosts have failed. These values make the runs end earlier than that after the
+// failure of a single host, to free the capacity that they use.
 const (
-	leaseShare   = 0.77 // of that time, for the leases of a lost owner
+	leaseShare   = 0.77 // of ResubmitAfter, for leases at executors that a failed owner has granted
 	takeoverTime = 200 * time.Millisecond
 )
 
-// cellParams returns the times of leases and the policies. Whatever the settings,
-// the times keep: lease of a job + stop < resubmission, lease < resubmission, and
-// suspicion + takeover + grace of orphans + stop < resubmission.
+// cellParams returns the parameters of this node's cells. For all settings, these hold:
+// JobLease + StopTime < ResubmitAfter, Lease < ResubmitAfter, and
+// SuspectAfter + takeoverTime + OrphanGrace + StopTime <= ResubmitAfter.
 func (n *Node) cellParams() cell.Params {
 	resubmit := n.settings.ResubmitAfter
 	hold := min(n.settings.LongestHold, time.Duration(leaseShare*float64(resubmit)))
@@ -31,14 +31,14 @@
 	return params
 }
 
-// jobLease is how long a job may run on after its caller was last known to wait:
-// until its runs are stopped before the caller can send it again, with as much to
-// spare for executors that are late to end them.
+// jobLease is how long a job may run after its caller was last known to wait. It ends
+// two stop times before the caller may submit the job again: one for stopping the runs
+// and one of margin for executors that are slow to do so.
 func (n *Node) jobLease() time.Duration {
 	return n.settings.ResubmitAfter - 2*n.settings.StopTime
 }
 
-// CheckPolicies reports a policy of the settings that there is no plug-in for.
+// CheckPolicies returns an error if the settings name a policy that is not registered.
 func CheckPolicies(s *settings.Node) error {
 	_, err := cell.Orders.Get(s.Order)
 	return err
--- a/pkg/node/params_test.go
+++ b/pkg/node/params_test.go
@@ -17,7 +17,7 @@
 		suspect  time.Duration
 	}
 	scenarios := []scenario{
-		{testName: "the users' deployments", resubmit: 1300 * time.Millisecond, hold: time.Second, stop: 50 * time.Millisecond, suspect: 600 * time.Millisecond},
+		{testName: "leases shorter than the time of resubmission", resubmit: 1300 * time.Millisecond, hold: time.Second, stop: 50 * time.Millisecond, suspect: 600 * time.Millisecond},
 		{testName: "long leases", resubmit: 1300 * time.Millisecond, hold: 10 * time.Second, stop: 50 * time.Millisecond, suspect: 600 * time.Millisecond},
 		{testName: "slow stops", resubmit: 1300 * time.Millisecond, hold: time.Second, stop: 300 * time.Millisecond, suspect: 600 * time.Millisecond},
 	}
@@ -32,12 +32,12 @@
 			c.Assert(params.JobLease+s.stop < s.resubmit, qt.IsTrue)
 			c.Assert(n.settleTime() >= params.JobLease+s.stop, qt.IsTrue)
 			c.Assert(s.suspect+takeoverTime+params.OrphanGrace+s.stop <= s.resubmit, qt.IsTrue)
-			c.Assert(params.HoldWait < params.StartLease, qt.IsTrue, qt.Commentf("a hold comes back before a start's lease ends"))
+			c.Assert(params.HoldWait < params.StartLease, qt.IsTrue, qt.Commentf("a hold request returns before the lease of a start ends"))
 		})
 	}
 }
 
-func TestAnUnknownPolicyIsRefusedWithTheNamesThereAre(t *testing.T) {
+func TestAnUnknownPolicyIsRejectedWithTheRegisteredNames(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(CheckPolicies(&settings.Node{Order: settings.DefaultOrder}), qt.IsNil)
 	err := CheckPolicies(&settings.Node{Order: "alphabetical"})
--- a/pkg/node/parts.go
+++ b/pkg/node/parts.go
@@ -7,8 +7,9 @@
 	"github.com/foxcroft/foxcroft/pkg/ownership"
 )
 
-// split says to which cells the tasks of a wide job go. It returns nil for a job
-// that stays whole, which all do whose tasks depend on each other's places.
+// split returns the cells that the tasks of a wide job are divided among, or nil when
+// the job is not split. Jobs of several steps and jobs with placement constraints are
+// never split.
 func (f *front) split(j *job.Job) []ownership.Share {
 	if len(j.Steps) != 1 {
 		return nil
@@ -28,16 +29,16 @@
 	return ownership.Split(claims, chosen, j.Service, step.Count, step.Needs.CPU)
 }
 
-// part is one part of a job, the cell that it goes to, and how it has ended.
+// part is one part of a split job, the cell to try first, and its outcome.
 type part struct {
 	job     *job.Job
 	cell    string
 	outcome job.Outcome
 }
 
-// followParts follows the parts of a job and tells how the whole has ended. When
-// some are refused and others have run, those are handed in again as started
-// ones, which owners don't refuse. begin is how each part begins.
+// followParts follows the parts of a job, each from the state begin, and returns the
+// outcome of the parent job. When some parts are refused and others have run, the
+// refused ones are submitted again as started jobs, which owners do not refuse.
 func (f *front) followParts(ctx context.Context, j *job.Job, shares []ownership.Share, begin attempt) job.Outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -50,17 +51,16 @@
 		parts[i] = &part{job: partJob, cell: shares[i].Cell}
 	}
 	f.node.Log.Info("job_split", "job", j.ID, "tasks", j.TaskCount(), "shares", shares)
-	whole := f.followAll(ctx, cancel, parts, begin)
-	refused := refusedOf(parts)
+	combined := f.followAll(ctx, cancel, parts, begin)
+	refused := refusedParts(parts)
 	if len(refused) == 0 || len(refused) == len(parts) || ctx.Err() != nil {
-		return whole
+		return combined
 	}
 	f.node.Log.Info("parts_handed_in_again", "job", j.ID, "parts", len(refused), "reason", refused[0].outcome.Reason)
-	return joinOutcomes(job.Outcome{Kind: job.Completed, Started: true, Chain: whole.Chain}, f.followAll(ctx, cancel, refused, attempt{epoch: begin.epoch + 1}))
+	return combineOutcomes(job.Outcome{Kind: job.Completed, Started: true, Chain: combined.Chain}, f.followAll(ctx, cancel, refused, attempt{epoch: begin.epoch + 1}))
 }
 
-// refusedOf returns the parts that were refused.
-func refusedOf(parts []*part) []*part {
+func refusedParts(parts []*part) []*part {
 	var refused []*part
 	for _, p := range parts {
 		if p.outcome.Kind == job.Refused {
@@ -70,8 +70,8 @@
 	return refused
 }
 
-// followAll follows parts until all have ended, and tells how they have ended
-// together. One that fails or expires ends the others.
+// followAll follows parts until all have ended, and returns their combined outcome.
+// When one fails or expires, the others are cancelled.
 func (f *front) followAll(ctx context.Context, cancel context.CancelFunc, parts []*part, begin attempt) job.Outcome {
 	ended := make(chan *part, len(parts))
 	for _, p := range parts {
@@ -82,24 +82,24 @@
 			ended <- p
 		}()
 	}
-	whole := (<-ended).outcome
+	combined := (<-ended).outcome
 	for range len(parts) - 1 {
-		if whole.Kind != job.Completed && whole.Kind != job.Refused {
+		if combined.Kind != job.Completed && combined.Kind != job.Refused {
 			cancel()
 		}
-		whole = joinOutcomes(whole, (<-ended).outcome)
+		combined = combineOutcomes(combined, (<-ended).outcome)
 	}
-	return whole
+	return combined
 }
 
-// joinOutcomes tells how a job has ended whose parts have ended like this, the
-// first one earlier. It is refused only when nothing of any part has run.
-func joinOutcomes(first, second job.Outcome) job.Outcome {
-	joined := first
+// combineOutcomes returns the outcome of a job from the outcomes of two of its parts, of
+// which first ended earlier. The job is refused only when nothing of any part has run.
+func combineOutcomes(first, second job.Outcome) job.Outcome {
+	combined := first
 	if first.Kind == job.Completed || (first.Kind == job.Refused && second.Kind != job.Completed) {
-		joined = second
+		combined = second
 	}
-	joined.Started = first.Started || second.Started
-	joined.Chain = max(first.Chain, second.Chain)
-	return ofAllSendings(joined)
+	combined.Started = first.Started || second.Started
+	combined.Chain = max(first.Chain, second.Chain)
+	return ofAllSendings(combined)
 }
--- a/pkg/node/parts_test.go
+++ b/pkg/node/parts_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestJoinedOutcomes(t *testing.T) {
+func TestCombinedOutcomes(t *testing.T) {
 	completed := job.Outcome{Kind: job.Completed, Started: true, Chain: time.Second}
 	refused := job.Outcome{Kind: job.Refused, Reason: "no_owner", RetryAfter: time.Second}
 	failed := job.Outcome{Kind: job.Failed, Reason: "task_failed", Started: true}
@@ -22,22 +22,22 @@
 	scenarios := []scenario{
 		{testName: "all completed", first: completed, second: completed, want: completed},
 		{testName: "one failed", first: completed, second: failed, want: job.Outcome{Kind: job.Failed, Reason: "task_failed", Started: true, Chain: time.Second}},
-		{testName: "the first that went wrong is told", first: failed, second: expired, want: failed},
+		{testName: "the first failure is returned", first: failed, second: expired, want: failed},
 		{testName: "one refused, one failed", first: refused, second: failed, want: job.Outcome{Kind: job.Failed, Reason: "task_failed", Started: true}},
-		{testName: "nothing ran", first: refused, second: refused, want: refused},
-		{testName: "refused beside a part that ran: it isn't said that nothing ran", first: refused, second: completed,
+		{testName: "all refused", first: refused, second: refused, want: refused},
+		{testName: "one completed, one refused: not a refusal, as a part has run", first: refused, second: completed,
 			want: job.Outcome{Kind: job.Expired, Reason: "no_owner", Started: true, RetryAfter: time.Second, Chain: time.Second}},
-		{testName: "the same the other way round", first: completed, second: refused,
+		{testName: "the same in the other order", first: completed, second: refused,
 			want: job.Outcome{Kind: job.Expired, Reason: "no_owner", Started: true, RetryAfter: time.Second, Chain: time.Second}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			qt.Assert(t, joinOutcomes(s.first, s.second), qt.DeepEquals, s.want)
+			qt.Assert(t, combineOutcomes(s.first, s.second), qt.DeepEquals, s.want)
 		})
 	}
 }
 
-func TestJobsWhoseTasksDependOnPlacesStayWhole(t *testing.T) {
+func TestJobsWithPlacementConstraintsAreNotSplit(t *testing.T) {
 	type scenario struct {
 		testName string
 		change   func(j *job.Job)
@@ -46,9 +46,9 @@
 	scenarios := []scenario{
 		{testName: "a wide job of one step", change: func(*job.Job) {}, split: true},
 		{testName: "two steps", change: func(j *job.Job) { j.Steps = append(j.Steps, j.Steps[0]) }},
-		{testName: "a label", change: func(j *job.Job) { j.Steps[0].Constraint = "kind" }},
-		{testName: "data in a rack", change: func(j *job.Job) { j.Steps[0].Affinity = "rack" }},
-		{testName: "few on an executor", change: func(j *job.Job) { j.Steps[0].AntiAffinity = 1 }},
+		{testName: "a required label", change: func(j *job.Job) { j.Steps[0].Constraint = "kind" }},
+		{testName: "affinity", change: func(j *job.Job) { j.Steps[0].Affinity = "rack" }},
+		{testName: "anti-affinity", change: func(j *job.Job) { j.Steps[0].AntiAffinity = 1 }},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -68,6 +68,6 @@
 	c := qt.New(t)
 	first := &part{outcome: job.Outcome{Kind: job.Completed, Started: true}}
 	second := &part{outcome: job.Outcome{Kind: job.Refused}}
-	c.Assert(refusedOf([]*part{first, second}), qt.HasLen, 1)
-	c.Assert(refusedOf([]*part{first, second})[0], qt.Equals, second)
+	c.Assert(refusedParts([]*part{first, second}), qt.HasLen, 1)
+	c.Assert(refusedParts([]*part{first, second})[0], qt.Equals, second)
 }
--- a/pkg/node/ports.go
+++ b/pkg/node/ports.go
@@ -1,8 +1,8 @@
-// Package node is a host that dispatches leased tasks: it takes callers' jobs
-// as their front, owns cells of executors, and learns news from the store and
-// from other nodes. The decisions are in pkg/cell and pkg/ownership; this
-// package carries them out. An adapter speaks with callers, executors and the
-// store in the platform's own terms.
+// Package node is the dispatcher process of a host. As a front it accepts callers' jobs,
+// as an owner it leads cells of executors and leases tasks to them, and it follows the
+// store and the other nodes for changes of configuration and membership. pkg/cell and
+// pkg/ownership make the decisions, and this package does the I/O. An adapter translates
+// between the node and the platform's callers, executors and store.
 package node
 
 import (
@@ -21,22 +21,22 @@
 	"github.com/foxcroft/foxcroft/pkg/traffic"
 )
 
-// Snapshot is one state of some news, in the form in which the store holds it,
-// so that nodes can pass it on unread.
+// Snapshot is one revision of a document, such as the configuration, in the store's
+// format, so that nodes can relay it without decoding it.
 type Snapshot struct {
-	Revision uint64 // rises with each change
+	Revision uint64 // increases with each change
 	Body     []byte
 }
 
-// OperatorChanges is what operators have changed: the configuration, and the
-// domains that they have closed to new work or opened again.
+// OperatorChanges holds the operators' changes: the configuration, and the domains that
+// are closed to new jobs or opened again.
 type OperatorChanges struct {
-	Position uint64   // of the store's history, to go on from
-	Body     []byte   // the newest configuration in the store's form; empty when it hasn't changed
+	Position uint64   // of the store's history, to continue from
+	Body     []byte   // the newest configuration in the store's format; empty when unchanged
 	Closed   []string // domains
 	Opened   []string // domains
 
-	Unreadable []catalog.Unreadable // they change nothing
+	Unreadable []catalog.Unreadable // entries that are ignored
 }
 
 // Member is a node's row in the store.
@@ -47,35 +47,35 @@
 	Capacity    ownership.Capacity
 }
 
-// MemberChanges is what has changed in the nodes' rows.
+// MemberChanges holds changes of the nodes' rows.
 type MemberChanges struct {
-	Position   uint64               // of the store's history, to go on from
+	Position   uint64               // of the store's history, to continue from
 	Listed     []Member             // new or changed
-	Removed    []string             // names of nodes whose rows are gone
-	Unreadable []catalog.Unreadable // they count as gone
+	Removed    []string             // names of nodes whose rows were removed
+	Unreadable []catalog.Unreadable // these count as removed
 }
 
-// Store is the platform's metadata store. A call that fails may have been
-// done. Implementations are safe for concurrent use.
+// Store is the platform's metadata store. A call that returns an error may have taken
+// effect. Implementations must be safe for concurrent use.
 type Store interface {
 	// Operator returns the newest configuration and all closed domains.
 	Operator(ctx context.Context) (OperatorChanges, error)
-	// AwaitOperator waits for a change after a position of the history and
-	// returns it with the next position, or that position alone when nothing
-	// has changed. The error is of kind errkind.NotFound when the history
-	// doesn't reach back so far.
+	// AwaitOperator waits for changes after a position of the store's history and
+	// returns them with the next position, or only the next position when nothing has
+	// changed. The error is of kind errkind.NotFound when the history does not reach
+	// back to the given position.
 	AwaitOperator(ctx context.Context, after uint64) (OperatorChanges, error)
 	// Executors returns the executors that have published themselves.
 	Executors(ctx context.Context) (*catalog.Executors, error)
-	// ExecutorChanges returns at once what has changed in that list since a
-	// revision. The error is of kind errkind.NotFound when the store's history
-	// doesn't reach back so far.
+	// ExecutorChanges returns the changes of that list since a revision, without
+	// waiting. The error is of kind errkind.NotFound when the store's history does not
+	// reach back to the revision.
 	ExecutorChanges(ctx context.Context, since uint64) (*catalog.ExecutorChanges, error)
-	// Ping reports whether the store can be read, by as few bytes as possible.
+	// Ping checks with minimal traffic whether the store can be read.
 	Ping(ctx context.Context) error
-	// Members returns all of the nodes' rows.
+	// Members returns the rows of all nodes.
 	Members(ctx context.Context) (MemberChanges, error)
-	// AwaitMembers is AwaitOperator for the nodes' rows.
+	// AwaitMembers waits for changes of the nodes' rows as AwaitOperator does.
 	AwaitMembers(ctx context.Context, after uint64) (MemberChanges, error)
 	// Announce writes this node's row.
 	Announce(ctx context.Context, member Member) error
@@ -83,7 +83,7 @@
 	Withdraw(ctx context.Context, name string) error
 }
 
-// StartOrder asks an executor to start a run.
+// StartOrder is the request to an executor to start a run.
 type StartOrder struct {
 	Task     string
 	Run      int64
@@ -92,72 +92,72 @@
 	Token    int64
 }
 
-// HoldOrder asks an executor what it runs, and renews its leases.
+// HoldOrder is the long-poll request that renews an executor's leases and lists its runs.
 type HoldOrder struct {
-	Deadline time.Duration // on the executor's clock; 0 renews nothing
+	Deadline time.Duration // end of the leases on the executor's clock; 0 renews nothing
 	Token    int64
 	LastSeen int64
 	Wait     time.Duration
 }
 
-// StopOrder asks an executor to end a run.
+// StopOrder is the request to an executor to stop a run.
 type StopOrder struct {
 	Task  string
 	Run   int64
 	Token int64
 }
 
-// CommandResult is how an order to start or to stop a run went.
+// CommandResult is the result of a start or stop request.
 type CommandResult struct {
 	Verdict cell.Verdict
-	Clock   time.Duration // the executor's; 0 when not told
-	Message string        // what an answer other than Accepted said, for logs
+	Clock   time.Duration // the executor's clock; 0 when the answer did not contain it
+	Message string        // the executor's message when the verdict is not Accepted, for logs
 }
 
-// Executors carries orders to executors. The calls return within a time and
-// never fail: a call without an answer is a verdict too.
+// Executors sends requests to executors. A call returns after at most timeout and has no
+// error: a missing answer is a verdict, too.
 type Executors interface {
-	Start(executor *catalog.Executor, order StartOrder, within time.Duration) CommandResult
-	Stop(executor *catalog.Executor, order StopOrder, within time.Duration) CommandResult
-	Hold(executor *catalog.Executor, order HoldOrder, within time.Duration) cell.HoldResponse
+	Start(executor *catalog.Executor, request StartOrder, timeout time.Duration) CommandResult
+	Stop(executor *catalog.Executor, request StopOrder, timeout time.Duration) CommandResult
+	Hold(executor *catalog.Executor, request HoldOrder, timeout time.Duration) cell.HoldResponse
 }
 
-// Service is what an adapter's front may ask of the node.
+// Service is the part of the node that an adapter's front uses.
 type Service interface {
-	// Configuration returns the configuration in force, or nil before there is one.
+	// Configuration returns the configuration in effect, or nil before one is loaded.
 	Configuration() *catalog.Configuration
-	// Submit runs a job and returns its end. It returns early when ctx ends.
+	// Submit runs a job and returns its outcome. It returns early when ctx ends.
 	Submit(ctx context.Context, j *job.Job) job.Outcome
-	// Waiting returns the number of a route's jobs of which no task has begun.
+	// Waiting returns the number of a route's jobs of which no task has started.
 	Waiting(route string) int
 	// State returns the state of a job that this node holds open for a caller.
 	State(id string) (started, known bool)
 	// Cancel withdraws a job that this node holds open for a caller.
 	Cancel(id string) bool
-	// Keep accepts a job that is to be kept. It returns early when ctx ends.
+	// Keep accepts a kept job: a durable job that runs to completion whether or not its
+	// caller waits. It returns early when ctx ends.
 	Keep(ctx context.Context, j *job.Job) kept.Answer
 	// KeptState returns the state of a kept job.
 	KeptState(ctx context.Context, id string) kept.Answer
 	// CancelKept cancels a kept job for good.
 	CancelKept(ctx context.Context, id string) kept.Answer
-	// Ready reports whether this node should get new connections; one that stops
-	// shouldn't.
+	// Ready reports whether the load balancer should send this node new connections.
 	Ready() bool
-	// Now returns the time that jobs are measured by.
+	// Now returns the current time of the clock that jobs' deadlines refer to.
 	Now() time.Duration
 }
 
-// Adapter translates between the product and one platform.
+// Adapter translates between the node and one platform.
 type Adapter interface {
 	Store() Store
-	// Tables returns the store's tables for state of the product's own.
+	// Tables returns the store's tables for the nodes' own persistent state.
 	Tables() tables.Store
 	Executors() Executors
-	// DecodeConfiguration reads a configuration in the store's form.
+	// DecodeConfiguration decodes a configuration in the store's format.
 	DecodeConfiguration(snapshot Snapshot) (*catalog.Configuration, error)
-	// Front serves callers.
+	// Front returns the handler of callers' requests.
 	Front(service Service) http.Handler
-	// Readiness serves the balancer's check.
+	// Readiness returns the handler of the load balancer's readiness check.
 	Readiness(service Service) http.Handler
 }
 
--- a/pkg/node/refusals.go
+++ b/pkg/node/refusals.go
@@ -6,12 +6,12 @@
 	"github.com/foxcroft/foxcroft/pkg/job"
 )
 
-// A refusal says that nothing of a job has run and nothing will. It has to be true of all
-// sendings that this host knows of: whoever refuses the last of them, an owner or another
-// front, may not know of the others.
+// A refusal states that no task of a job has run or will run. It must hold for all
+// submissions of the job that this host knows of: the owner or front that refuses the
+// last one may not know of the others.
 
-// ofAllSendings returns the end of a job, of all its sendings and parts, as its callers are
-// told. One that was refused though a task of it may have started has expired for them.
+// ofAllSendings returns the outcome of a job, over all its submissions and parts, as its
+// callers get it: a refusal becomes an expiry if a task may have started.
 func ofAllSendings(outcome job.Outcome) job.Outcome {
 	if outcome.Kind == job.Refused && outcome.Started {
 		outcome.Kind = job.Expired
@@ -19,8 +19,8 @@
 	return outcome
 }
 
-// turnAway answers for a job that comes while this host stops, without a try: by the end
-// of an earlier sending if one is open here or its end is known, and else by a refusal.
+// turnAway answers a job that arrives while this host stops, without dispatching it: with
+// the outcome of an earlier submission that is open or has ended here, or with a refusal.
 func (f *front) turnAway(ctx context.Context, j *job.Job) job.Outcome {
 	if open := f.join(j.ID); open != nil {
 		return f.awaitHere(ctx, open, j)
--- a/pkg/node/refusals_test.go
+++ b/pkg/node/refusals_test.go
@@ -10,25 +10,25 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A refusal says that nothing of the job has run and nothing will. A host that knows of
-// an earlier sending of which tasks may have started doesn't say so, whoever refuses
-// the one at hand.
+// A refusal states that no task of the job has run or will run. A host that knows of an
+// earlier submission of which tasks may have started must not return one, whichever owner
+// or front refuses the current submission.
 
 var (
-	refusedUntouched = job.Outcome{Kind: job.Refused, Reason: "overloaded", RetryAfter: comeBack}
-	leftUntouched    = job.Outcome{Kind: job.Expired, Reason: "caller_left"}
+	refusedUnstarted = job.Outcome{Kind: job.Refused, Reason: "overloaded", RetryAfter: comeBack}
+	leftUnstarted    = job.Outcome{Kind: job.Expired, Reason: "caller_left"}
 	mayHaveRun       = job.Outcome{Kind: job.Expired, Reason: "caller_left", Started: true}
 )
 
 func TestAnotherFrontsRefusalOfAJobThatMayHaveRunHere(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		earlier  func(a *Node) // sending at the host that asks
+		earlier  func(a *Node) // submission at the host that asks
 		want     job.Kind
 	}{
-		{"it hasn't been here", func(*Node) {}, job.Refused},
-		{"it was refused untouched here", func(a *Node) { a.front.end(hold(a), refusedUntouched) }, job.Refused},
-		{"it was given up here", func(a *Node) { a.front.end(hold(a), mayHaveRun) }, job.Expired},
+		{"not submitted here", func(*Node) {}, job.Refused},
+		{"refused here, nothing started", func(a *Node) { a.front.end(hold(a), refusedUnstarted) }, job.Refused},
+		{"abandoned here, may have run", func(a *Node) { a.front.end(hold(a), mayHaveRun) }, job.Expired},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -39,15 +39,15 @@
 			eventually(c, func() bool { return knows(a) })
 			answer := submitLater(context.Background(), a)
 			eventually(c, func() bool { return waiters(b, open) == 2 })
-			b.front.end(open, refusedUntouched)
+			b.front.end(open, refusedUnstarted)
 			c.Assert((<-answer).Kind, qt.Equals, s.want)
 		})
 	}
 }
 
-// An owner gives a job back of which something may have run. Meanwhile it has come again
-// to another front, which refuses it.
-func TestAnotherFrontsRefusalOfAJobThatCameBack(t *testing.T) {
+// An owner returns a job that may have run. Meanwhile the job was submitted again to
+// another front, which refuses it.
+func TestAnotherFrontsRefusalOfAReturnedJob(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		epoch    int // above 1, a task may have started at an earlier owner
@@ -60,7 +60,7 @@
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			a, b := pairOf(t)
-			o := owns(a, "z")
+			o := makeOwner(a, "z")
 			open := hold(b)
 			eventually(c, func() bool { return knows(a) })
 			answer := make(chan job.Outcome, 1)
@@ -70,29 +70,30 @@
 			eventually(c, func() bool { return o.busy() })
 			o.release("test")
 			eventually(c, func() bool { return waiters(b, open) == 2 })
-			b.front.end(open, refusedUntouched)
+			b.front.end(open, refusedUnstarted)
 			c.Assert((<-answer).Started, qt.Equals, s.started)
 		})
 	}
 }
 
-// A job that comes again after its runs are over starts anew, and may be refused then.
-func TestAJobThatStartsAnewIsNotRefusedAsUntouched(t *testing.T) {
+// A job that is resubmitted after its earlier runs have ended is dispatched again, and its
+// owner may refuse it. Its caller must not get a refusal if a task may have run before.
+func TestAResubmittedJobIsNotRefusedIfItMayHaveRun(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		hold     func(n *Node) *openJob
 		earlier  job.Outcome
 		want     job.Kind
 	}{
-		{"it was refused untouched", hold, refusedUntouched, job.Refused},
-		{"it may have run", hold, mayHaveRun, job.Expired},
-		{"it may have run, and others weren't told", holdUntold, mayHaveRun, job.Expired},
+		{"refused, nothing started", hold, refusedUnstarted, job.Refused},
+		{"may have run", hold, mayHaveRun, job.Expired},
+		{"may have run, not announced to peers", holdUnannounced, mayHaveRun, job.Expired},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			a := peerNode(t, "a", "z", 1)
-			o := owns(a, "z")
+			o := makeOwner(a, "z")
 			go func() {
 				for o.tick(); t.Context().Err() == nil; o.tick() {
 					time.Sleep(10 * time.Millisecond)
@@ -102,7 +103,7 @@
 			time.Sleep(a.settleTime())
 			again := sending(a)
 			again.Steps[0].Estimate = time.Second
-			again.Deadline = again.Received + 100*time.Millisecond // its owner refuses it
+			again.Deadline = again.Received + 100*time.Millisecond // too short, so that its owner refuses it
 			c.Assert(a.Submit(context.Background(), again).Kind, qt.Equals, s.want)
 		})
 	}
@@ -114,18 +115,18 @@
 		earlier  func(c *qt.C, a, b *Node)
 		want     job.Kind
 	}{
-		{"it hasn't been here", func(*qt.C, *Node, *Node) {}, job.Refused},
-		{"it was refused untouched here", func(_ *qt.C, a, _ *Node) { a.front.end(hold(a), refusedUntouched) }, job.Refused},
-		{"it was given up here", func(_ *qt.C, a, _ *Node) { a.front.end(hold(a), mayHaveRun) }, job.Expired},
-		{"it was given up here before others were told", func(_ *qt.C, a, _ *Node) { a.front.end(holdUntold(a), mayHaveRun) }, job.Expired},
-		{"it was given up here before it began and others were told", func(_ *qt.C, a, _ *Node) { a.front.end(holdUntold(a), leftUntouched) }, job.Refused},
-		{"it was refused untouched here before others were told", func(_ *qt.C, a, _ *Node) { a.front.end(holdUntold(a), refusedUntouched) }, job.Refused},
-		{"it has ended here", func(_ *qt.C, a, _ *Node) { a.front.end(hold(a), completed) }, job.Completed},
-		{"it is open elsewhere", func(c *qt.C, a, b *Node) {
+		{"not submitted here", func(*qt.C, *Node, *Node) {}, job.Refused},
+		{"refused here, nothing started", func(_ *qt.C, a, _ *Node) { a.front.end(hold(a), refusedUnstarted) }, job.Refused},
+		{"abandoned here, may have run", func(_ *qt.C, a, _ *Node) { a.front.end(hold(a), mayHaveRun) }, job.Expired},
+		{"abandoned here before it was announced, may have run", func(_ *qt.C, a, _ *Node) { a.front.end(holdUnannounced(a), mayHaveRun) }, job.Expired},
+		{"abandoned here before it was announced, nothing started", func(_ *qt.C, a, _ *Node) { a.front.end(holdUnannounced(a), leftUnstarted) }, job.Refused},
+		{"refused here before it was announced, nothing started", func(_ *qt.C, a, _ *Node) { a.front.end(holdUnannounced(a), refusedUnstarted) }, job.Refused},
+		{"has ended here", func(_ *qt.C, a, _ *Node) { a.front.end(hold(a), completed) }, job.Completed},
+		{"open elsewhere", func(c *qt.C, a, b *Node) {
 			hold(b)
 			eventually(c, func() bool { return knows(a) })
 		}, job.Expired},
-		{"it is open here", func(c *qt.C, a, _ *Node) {
+		{"open here", func(c *qt.C, a, _ *Node) {
 			open := hold(a)
 			go func() {
 				for waiters(a, open) < 2 {
@@ -146,22 +147,22 @@
 	}
 }
 
-// A stopping host gives its open jobs up. One that comes again just then ends as the earlier
-// sending does: begun anew, it would be with an owner when this host is gone.
-func TestAStoppingFrontBeginsNoJobAnew(t *testing.T) {
+// A stopping host abandons its open jobs. A job that is submitted again at that time must
+// end with the earlier submission: dispatched again, it would outlive this host.
+func TestAStoppingFrontDoesNotRestartAJob(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		started  bool // the earlier sending, which is being given up
+		started  bool // the earlier submission, which is being abandoned
 		want     job.Kind
 	}{
-		{"it waited", false, job.Refused},
-		{"it may have run", true, job.Expired},
+		{"was queued", false, job.Refused},
+		{"may have run", true, job.Expired},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			a, _ := pairOf(t)
-			o := owns(a, "z")
+			o := makeOwner(a, "z")
 			open := hold(a)
 			a.front.stopsAt.Store(int64(a.Clock.Now()))
 			a.front.giveUpOpen()
@@ -174,16 +175,16 @@
 	}
 }
 
-// holdUntold has a node hold a job open that is too young to tell others of it.
-func holdUntold(n *Node) *openJob {
+// holdUnannounced makes a node hold a job open that is too recent to be announced to peers.
+func holdUnannounced(n *Node) *openJob {
 	open, _ := n.front.enter(sending(n))
 	n.openNews.opened(open.job)
 	n.front.markCarried(open)
 	return open
 }
 
-// owns has a node own a cell.
-func owns(n *Node, cellName string) *owner {
+// makeOwner makes a node the owner of a cell.
+func makeOwner(n *Node, cellName string) *owner {
 	o := newOwner(n, cellName, 1, n.Clock.Now())
 	load := ownership.Load{CapacityCPU: 1000, FreeCPU: 1000, Ready: true, Services: []string{"s"}}
 	n.mu.Lock()
--- a/pkg/node/reload.go
+++ b/pkg/node/reload.go
@@ -2,8 +2,8 @@
 
 import "github.com/foxcroft/foxcroft/pkg/settings"
 
-// Reload reads the settings anew. What can change while the node runs is the
-// seeds; a faulty file changes nothing.
+// Reload reads the settings file again and applies its seeds, the only setting that can
+// change while the node runs. An invalid file changes nothing.
 func (n *Node) Reload(path string) {
 	s, err := settings.LoadNode(path)
 	if err != nil {
--- a/pkg/node/service.go
+++ b/pkg/node/service.go
@@ -19,8 +19,8 @@
 // Now implements Service.
 func (n *Node) Now() time.Duration { return n.Clock.Now() }
 
-// Ready implements Service: a node gets callers while it has a configuration
-// and sees an owner that can run something.
+// Ready implements Service: a node is ready while it has a configuration, is not
+// stopping, and reaches an owner that can run jobs.
 func (n *Node) Ready() bool {
 	if n.leaving.Load() || n.Configuration() == nil {
 		return false
@@ -51,8 +51,8 @@
 	return count
 }
 
-// ownWaiting counts, by route, the jobs in this node's cells of which no task
-// has started, and the kept ones that wait for an owner here.
+// ownWaiting counts, by route, the jobs in this node's cells of which no task has
+// started, and the kept jobs that this node coordinates and that wait for an owner.
 func (n *Node) ownWaiting() map[string]int {
 	counts := map[string]int{}
 	for _, o := range n.allOwners() {
--- a/pkg/node/sizes.go
+++ b/pkg/node/sizes.go
@@ -6,26 +6,26 @@
 	"github.com/foxcroft/foxcroft/pkg/ownership"
 )
 
-// cellSizes says how many executors a cell of each domain holds at most: as
-// many as the strongest host of the domain can serve. All hosts read the same
-// rows, so they come to the same cells.
+// cellSizes holds the maximum number of executors of a cell in each domain: as many as
+// the host with the most capacity in the domain can serve. All hosts compute the same cells because
+// they read the same rows.
 type cellSizes struct {
 	byDomain map[string]int
-	others   int // of domains of which no host is known
+	unknown  int // for domains without a known host
 }
 
 func (s cellSizes) of(domain string) int {
 	if size, ok := s.byDomain[domain]; ok {
 		return size
 	}
-	return s.others
+	return s.unknown
 }
 
 func (n *Node) ownCapacity() ownership.Capacity {
 	return ownership.Capacity{CPU: n.settings.Weight, LinkMbps: n.settings.LinkMbps}
 }
 
-// ownRow returns what this node writes to the store of itself.
+// ownRow returns this node's row for the store.
 func (n *Node) ownRow() Member {
 	return Member{
 		Name:        n.settings.Name,
@@ -35,30 +35,30 @@
 	}
 }
 
-// cellSizes works the sizes out from the rows, and from hosts in sight whose rows
-// are missing. Before the rows were read nothing is known of how strong a domain's
-// hosts are, whatever this one is. n.mu is held.
+// cellSizes computes the sizes from the nodes' rows, and from reachable hosts that have
+// no row. Before the rows are read, this node's own capacity says nothing about the other
+// hosts, and all domains get the size for an unknown capacity. n.mu is held.
 func (n *Node) cellSizes() cellSizes {
 	if !n.rowsRead {
-		return cellSizes{others: ownership.CellSize(ownership.Capacity{})}
+		return cellSizes{unknown: ownership.CellSize(ownership.Capacity{})}
 	}
 	own := ownership.CellSize(n.ownCapacity())
-	sizes := cellSizes{byDomain: map[string]int{n.settings.Domain: own}, others: own}
-	take := func(domain string, host ownership.Capacity) {
+	sizes := cellSizes{byDomain: map[string]int{n.settings.Domain: own}, unknown: own}
+	include := func(domain string, host ownership.Capacity) {
 		sizes.byDomain[domain] = max(sizes.byDomain[domain], ownership.CellSize(host))
 	}
 	for _, row := range n.rows {
-		take(row.Domain, row.Capacity)
+		include(row.Domain, row.Capacity)
 	}
 	for _, peer := range n.members.View(n.inc).Peers {
 		if _, listed := n.rows[peer.Name]; !listed {
-			take(peer.Domain, ownership.Capacity{CPU: peer.Weight, LinkMbps: n.settings.LinkMbps})
+			include(peer.Domain, ownership.Capacity{CPU: peer.Weight, LinkMbps: n.settings.LinkMbps})
 		}
 	}
 	return sizes
 }
 
-// cellCounts returns the number of cells of domains with so many executors.
+// cellCounts returns the number of cells of each domain, from its number of executors.
 func (n *Node) cellCounts(executors map[string]int) map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -75,8 +75,8 @@
 	return counts
 }
 
-// resizeCells sorts the executors into cells anew when the domains' hosts have
-// become stronger or weaker, or their owners have claimed other cells.
+// resizeCells divides the executors into cells again when the number of cells has
+// changed, because the capacities of hosts or the claims of owners have changed.
 func (n *Node) resizeCells() {
 	current := n.executors.Load()
 	if current == nil || maps.Equal(current.counts, n.cellCounts(current.sizes)) {
--- a/pkg/node/sizes_test.go
+++ b/pkg/node/sizes_test.go
@@ -9,26 +9,26 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A weak host that starts while the store is down knows of no strong ones. It took
-// the domain's cells for smaller than they were, claimed some of its own making, and
-// fenced all owners (further-grown, trouble-3, second 22: half of all jobs refused).
+// A host with little capacity that starts while the store is unreachable must not compute
+// cells from its own capacity alone: it would claim cells of another size than those in use,
+// and fence their owners.
 func TestCellsOfADomainWhoseRowsAreNotKnown(t *testing.T) {
 	type scenario struct {
 		testName string
-		rows     []Member // nil: none have been read
+		rows     []Member // nil when the rows have not been read
 		peers    []member.Peer
-		claimed  string // a cell that another host owns
+		claimed  string // cell that another host owns; empty when none
 		want     int
 	}
-	weakRow := Member{Name: "a", Domain: "z", Capacity: ownership.Capacity{CPU: 192, LinkMbps: 25}}
-	strongRow := Member{Name: "b", Domain: "z", Capacity: ownership.Capacity{CPU: 800, LinkMbps: 200}}
-	strongPeer := member.Peer{Name: "b", Domain: "z", Address: otherAddress, Incarnation: once.Incarnation{2}, Weight: 800}
+	smallRow := Member{Name: "a", Domain: "z", Capacity: ownership.Capacity{CPU: 192, LinkMbps: 25}}
+	largeRow := Member{Name: "b", Domain: "z", Capacity: ownership.Capacity{CPU: 800, LinkMbps: 200}}
+	largePeer := member.Peer{Name: "b", Domain: "z", Address: otherAddress, Incarnation: once.Incarnation{2}, Weight: 800}
 	scenarios := []scenario{
 		{testName: "nothing is known", want: 2},
-		{testName: "its peers have claimed cells", claimed: "z/4.1", want: 4},
-		{testName: "only weak hosts", rows: []Member{weakRow}, want: 8},
-		{testName: "a strong host has a row", rows: []Member{weakRow, strongRow}, want: 2},
-		{testName: "a strong host is in sight, its row isn't there yet", rows: []Member{weakRow}, peers: []member.Peer{strongPeer}, want: 2},
+		{testName: "peers have claimed cells", claimed: "z/4.1", want: 4},
+		{testName: "only hosts with little capacity", rows: []Member{smallRow}, want: 8},
+		{testName: "a host with more capacity has a row", rows: []Member{smallRow, largeRow}, want: 2},
+		{testName: "a host with more capacity is reachable and has no row yet", rows: []Member{smallRow}, peers: []member.Peer{largePeer}, want: 2},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/pkg/node/stop.go
+++ b/pkg/node/stop.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// balancerDelay is how long the balancer may take to see that a node
-	// leaves: two checks a second apart, and some more.
+	// balancerDelay is how long the load balancer may take to notice that a node
+	// leaves: two readiness checks one second apart, and a margin.
 	balancerDelay = 2200 * time.Millisecond
-	// jobsShare is the part of the grace after which a planned stop no longer
-	// waits for the jobs under way, and stopShare the part after which it no
-	// longer waits for their answers to be written.
-	jobsShare = 0.93
-	stopShare = 0.97
+	// jobsGraceShare is the fraction of the grace period after which a planned stop no
+	// longer waits for open jobs, and answersGraceShare the fraction after
+	// which it no longer waits for their answers to be written.
+	jobsGraceShare    = 0.93
+	answersGraceShare = 0.97
 )
 
-// Stop is a planned stop: this node takes no new connections, hands its cells
-// to others, answers what callers wait for, and goes.
+// Stop is a planned stop: the node accepts no new connections, has other nodes take over
+// its cells, answers the callers of open jobs, and shuts down.
 func (n *Node) Stop() {
 	n.Log.Info("stopping", "grace", n.settings.Grace.String())
 	begin := n.Clock.Now()
-	jobsLimit := begin + time.Duration(jobsShare*float64(n.settings.Grace))
-	limit := begin + time.Duration(stopShare*float64(n.settings.Grace))
+	jobsLimit := begin + time.Duration(jobsGraceShare*float64(n.settings.Grace))
+	limit := begin + time.Duration(answersGraceShare*float64(n.settings.Grace))
 	n.front.stopsAt.Store(int64(jobsLimit))
 	n.leaving.Store(true)
 	n.viewVersion.Add(1)
@@ -42,8 +42,8 @@
 	n.Log.Info("stopped")
 }
 
-// awaitDrained waits until the balancer has had its time, the cells are handed
-// over and callers have their answers, or until limit.
+// awaitDrained waits until earliest has passed, other nodes own the cells and no job is
+// open, but not longer than limit.
 func (n *Node) awaitDrained(earliest, limit time.Duration) {
 	for n.Clock.Now() < limit {
 		if n.Clock.Now() >= earliest && n.openJobs() == 0 && len(n.allOwners()) == 0 {
@@ -59,7 +59,7 @@
 	return len(n.front.open)
 }
 
-// closeServers stops listening and waits for the answers under way.
+// closeServers closes the listeners and waits for requests in progress.
 func (n *Node) closeServers(left time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), max(left, tickInterval))
 	defer cancel()
--- a/pkg/node/stop_test.go
+++ b/pkg/node/stop_test.go
@@ -10,19 +10,19 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Callers may come to a stopping node until its end. Each gets an answer.
+// A stopping node must answer every job that still arrives.
 func TestJobsOfAStoppingNode(t *testing.T) {
 	type scenario struct {
 		testName string
-		stopsIn  time.Duration // 0: it doesn't stop
+		stopsIn  time.Duration // 0 when no stop is planned
 		estimate time.Duration
 		giveUp   bool
 		want     job.Kind
 		reason   string
 	}
 	scenarios := []scenario{
-		{testName: "too little time is left: refused, come back elsewhere", stopsIn: 100 * time.Millisecond, estimate: time.Second, want: job.Refused, reason: "stopping"},
-		{testName: "there was time, but it found no owner by the end", stopsIn: time.Minute, estimate: time.Second, giveUp: true, want: job.Refused, reason: "stopping"},
+		{testName: "too little time is left: refused", stopsIn: 100 * time.Millisecond, estimate: time.Second, want: job.Refused, reason: "stopping"},
+		{testName: "enough time, but no owner is found before the stop", stopsIn: time.Minute, estimate: time.Second, giveUp: true, want: job.Refused, reason: "stopping"},
 		{testName: "no stop, no owner", estimate: time.Second, want: job.Refused, reason: "no_owner"},
 	}
 	for _, s := range scenarios {
--- a/pkg/node/view.go
+++ b/pkg/node/view.go
@@ -5,7 +5,8 @@
 	"github.com/foxcroft/foxcroft/pkg/ownership"
 )
 
-// ownershipView returns what this node sees of the others. n.mu is held.
+// ownershipView returns this node's view of the hosts, for decisions on ownership. n.mu
+// is held.
 func (n *Node) ownershipView() ownership.View {
 	view := ownership.View{Self: ownership.Host{Address: n.settings.PeerAddress, Domain: n.settings.Domain, Leaving: n.leaving.Load(), Weight: n.settings.Weight}}
 	known := map[string]bool{n.settings.PeerAddress: true}
@@ -27,8 +28,8 @@
 	return view
 }
 
-// sideWeight is the weight of hosts of large domains that don't hold links to all
-// that may own cells: they come after those.
+// sideWeight is the weight of the hosts of a large domain that are no hubs: hubs own
+// cells before them.
 const sideWeight = 1
 
 // weightOf returns the weight with which a host may own cells.
--- a/pkg/node/wire.go
+++ b/pkg/node/wire.go
@@ -10,7 +10,7 @@
 	"github.com/google/wire"
 )
 
-// Initialize wires a node.
+// Initialize builds a node and its dependencies.
 func Initialize(s *settings.Node, logger *log.Logger) (*Node, error) {
 	wire.Build(common.NewCommon, provideIncarnation, traffic.NewMeter, provideAdapter, NewNode)
 	return nil, nil
--- a/pkg/node/workers.go
+++ b/pkg/node/workers.go
@@ -2,48 +2,48 @@
 
 import "sync/atomic"
 
-// keptWorkers is how many idle goroutines are kept. A new goroutine grows its
-// stack several times on the way through a call; a kept one has done so.
-const keptWorkers = 256
+// maxIdleWorkers is how many idle goroutines are kept for reuse. A reused goroutine has
+// already grown its stack to the size that a call needs.
+const maxIdleWorkers = 256
 
-// workers run what they are given, each thing on a goroutine of its own at
-// once, and keep goroutines that have become idle.
+// workers handles items concurrently, each on its own goroutine and without queueing, and
+// reuses idle goroutines.
 type workers[T any] struct {
-	carryOut func(T)
-	waiting  chan T
-	idle     atomic.Int64
+	handle  func(T)
+	handoff chan T
+	idle    atomic.Int64
 }
 
-func newWorkers[T any](carryOut func(T)) *workers[T] {
-	return &workers[T]{carryOut: carryOut, waiting: make(chan T)}
+func newWorkers[T any](handle func(T)) *workers[T] {
+	return &workers[T]{handle: handle, handoff: make(chan T)}
 }
 
-// run has an idle goroutine carry todo out, or a new one. It doesn't block.
+// run handles todo on an idle goroutine or a new one. It does not block.
 func (w *workers[T]) run(todo T) {
 	select {
-	case w.waiting <- todo:
+	case w.handoff <- todo:
 	default:
 		go w.work(todo)
 	}
 }
 
-// work carries things out until enough other goroutines are idle.
+// work handles items until enough other goroutines are idle.
 func (w *workers[T]) work(todo T) {
 	for {
-		w.carryOut(todo)
+		w.handle(todo)
 		if !w.becomeIdle() {
 			return
 		}
-		todo = <-w.waiting
+		todo = <-w.handoff
 		w.idle.Add(-1)
 	}
 }
 
-// becomeIdle counts a goroutine as idle, unless enough others are.
+// becomeIdle counts the goroutine as idle. It reports false when enough others are idle.
 func (w *workers[T]) becomeIdle() bool {
 	for {
 		idle := w.idle.Load()
-		if idle >= keptWorkers {
+		if idle >= maxIdleWorkers {
 			return false
 		}
 		if w.idle.CompareAndSwap(idle, idle+1) {
--- a/pkg/node/workers_test.go
+++ b/pkg/node/workers_test.go
@@ -7,10 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Calls that wait for executors must not hold others up.
-func TestWorkersCarryEverythingOutAtOnce(t *testing.T) {
+// Calls that wait for executors must not delay others.
+func TestWorkersHandleAllItemsConcurrently(t *testing.T) {
 	c := qt.New(t)
-	const count = 2 * keptWorkers
+	const count = 2 * maxIdleWorkers
 	var started, ended sync.WaitGroup
 	release := make(chan struct{})
 	w := newWorkers(func(int) {
@@ -18,7 +18,7 @@
 		<-release
 		ended.Done()
 	})
-	for range 2 { // the second time on goroutines that were kept
+	for range 2 { // the second time on idle goroutines
 		started.Add(count)
 		ended.Add(count)
 		for i := range count {
@@ -29,5 +29,5 @@
 		ended.Wait()
 		release = make(chan struct{})
 	}
-	c.Assert(w.idle.Load() <= keptWorkers, qt.IsTrue)
+	c.Assert(w.idle.Load() <= maxIdleWorkers, qt.IsTrue)
 }
