--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -33,7 +33,7 @@
 	linkRefreshInterval = time.Second // between updates of the set of links to peers
 )
 
-// Node is the dispatcher process of one host.
+// Node is the process of one host.
 type Node struct {
 	*common.Common
 	settings *settings.Node
@@ -47,7 +47,7 @@
 	links    *peer.Set
 	peers    *peer.Server
 
-	leaving       atomic.Bool
+	leaving       atomic.Bool  // a planned stop has begun
 	readsList     atomic.Bool  // as of the last check, this node reads the executor list for its domain
 	isHub         atomic.Bool  // as of the last check, this node may own cells of its domain
 	storeFails    atomic.Bool  // the last read of the executor list failed
--- a/pkg/node/overdue_calls.go
+++ b/pkg/node/overdue_calls.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// overdueCalls counts the calls that still wait for an answer after their timeout, so
-// that a late answer can be distinguished from a lost one.
+// overdueCalls counts the calls that still wait for an answer after their timeout. They
+// keep waiting so that a late answer can be distinguished from a lost one.
 type overdueCalls struct{ count atomic.Int64 }
 
 const (
--- a/pkg/node/owner_kept.go
+++ b/pkg/node/owner_kept.go
@@ -18,8 +18,8 @@
 	cancellationRetention = 20 * time.Second
 )
 
-// reasonKeptCancelled tells a coordinator that does not know it yet that a kept job
-// was cancelled.
+// reasonKeptCancelled reports the cancellation of a kept job to a coordinator that does
+// not know of it yet.
 const reasonKeptCancelled = keeping.ReasonCancelled
 
 // keptCancelled is the outcome that waiters for a cancelled kept job get.
@@ -31,7 +31,7 @@
 	inCell    map[string]bool          // jobs in the cell; they go on without waiters
 	cancelled map[string]time.Duration // by id: until when the job is refused
 
-	nextCheckpoint time.Duration // when progress is reported next
+	nextCheckpoint time.Duration // when to check for progress next
 }
 
 func newKeptJobs() keptJobs {
--- a/pkg/node/wire_gen.go
+++ b/pkg/node/wire_gen.go
@@ -15,7 +15,7 @@
 
 // Injectors from wire.go:
 
-// Initialize wires a node.
+// Initialize builds a node and its dependencies.
 func Initialize(s *settings.Node, logger *log.Logger) (*Node, error) {
 	commonCommon := common.NewCommon(logger)
 	incarnation, err := provideIncarnation(commonCommon)
