--- a/pkg/node/arrivals.go
+++ b/pkg/node/arrivals.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Reasons for which an owner drops the jobs of a front.
+// Reasons for which an owner removes the jobs of a front.
 const (
-	reasonFrontGone   = "front_gone"   // its link has ended
-	reasonFrontSilent = "front_silent" // it has sent nothing for too long
+	reasonFrontGone   = "front_gone"   // its link has closed
+	reasonFrontSilent = "front_silent" // it has sent nothing for longer than SuspectAfter
 )
 
-// arrivals remembers when each peer was last heard on a link that it opened.
+// arrivals records when each peer last sent something on a link that it opened.
 type arrivals struct {
-	mu       sync.Mutex
-	at       map[string]time.Duration // by the peer's address
-	lastLook time.Duration
+	mu         sync.Mutex
+	at         map[string]time.Duration // by the peer's address
+	lastScanAt time.Duration
 }
 
 func newArrivals() *arrivals { return &arrivals{at: map[string]time.Duration{}} }
@@ -32,20 +32,20 @@
 	delete(a.at, address)
 }
 
-// look begins a look at all peers. A silence is theirs only while this process
-// was awake, so one that stood still hears them anew first.
-func (a *arrivals) look(now time.Duration) {
+// beginScan begins a check of all peers. If this process was paused since the last check, it
+// could not receive anything, so the times of all peers start anew.
+func (a *arrivals) beginScan(now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if now-a.lastLook > longestGap {
+	if now-a.lastScanAt > longestGap {
 		for address := range a.at {
 			a.at[address] = now
 		}
 	}
-	a.lastLook = now
+	a.lastScanAt = now
 }
 
-// silence returns for how long a peer has been silent, or 0 when it isn't known.
+// silence returns how long ago a peer last sent something, or 0 if it is unknown.
 func (a *arrivals) silence(address string, now time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -55,19 +55,19 @@
 	return 0
 }
 
-// silent reports whether a peer has been silent for longer than limit. One
-// whose link has ended counts as gone, not as silent.
-func (a *arrivals) silent(address string, limit, now time.Duration) bool {
+// isUnresponsive reports whether a peer has sent nothing for longer than limit. It is false
+// for a peer whose link has closed, as the closing itself is handled.
+func (a *arrivals) isUnresponsive(address string, limit, now time.Duration) bool {
 	return a.silence(address, now) > limit
 }
 
-// dropSilentFronts takes back the jobs of fronts that have fallen silent, so that
-// their room is free before the leases of the jobs end.
+// dropSilentFronts removes the jobs of unresponsive fronts, so that their capacity is free
+// before the leases of the jobs end.
 func (n *Node) dropSilentFronts(now time.Duration) {
-	n.arrivals.look(now)
+	n.arrivals.beginScan(now)
 	for _, o := range n.allOwners() {
 		for _, front := range o.fronts() {
-			if n.arrivals.silent(front, n.settings.SuspectAfter, now) {
+			if n.arrivals.isUnresponsive(front, n.settings.SuspectAfter, now) {
 				o.frontGone(front, reasonFrontSilent)
 			}
 		}
--- a/pkg/node/arrivals_test.go
+++ b/pkg/node/arrivals_test.go
@@ -11,48 +11,48 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestSilentPeers(t *testing.T) {
+func TestUnresponsivePeers(t *testing.T) {
 	const limit = 600 * time.Millisecond
 	type scenario struct {
 		testName string
-		looks    []time.Duration // after the peer was heard at 1 s
-		forget   bool
+		scans    []time.Duration // times of the checks; the peer sent something at 1 s
+		closed   bool            // the peer's link
 		now      time.Duration
 		want     bool
 	}
 	scenarios := []scenario{
-		{testName: "heard a moment ago", looks: []time.Duration{time.Second}, now: 1500 * time.Millisecond},
-		{testName: "silent for too long", looks: []time.Duration{1300 * time.Millisecond, 1600 * time.Millisecond}, now: 1601 * time.Millisecond, want: true},
-		{testName: "this process stood still meanwhile", looks: []time.Duration{time.Second, 3 * time.Second}, now: 3001 * time.Millisecond},
-		{testName: "its link has ended", looks: []time.Duration{1300 * time.Millisecond}, forget: true, now: 1601 * time.Millisecond},
+		{testName: "received from recently", scans: []time.Duration{time.Second}, now: 1500 * time.Millisecond},
+		{testName: "unresponsive for longer than the limit", scans: []time.Duration{1300 * time.Millisecond, 1600 * time.Millisecond}, now: 1601 * time.Millisecond, want: true},
+		{testName: "this process was paused meanwhile", scans: []time.Duration{time.Second, 3 * time.Second}, now: 3001 * time.Millisecond},
+		{testName: "its link has closed", scans: []time.Duration{1300 * time.Millisecond}, closed: true, now: 1601 * time.Millisecond},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			a := newArrivals()
-			a.look(time.Second)
+			a.beginScan(time.Second)
 			a.note("peer", time.Second)
-			for _, at := range s.looks {
-				a.look(at)
+			for _, at := range s.scans {
+				a.beginScan(at)
 			}
-			if s.forget {
+			if s.closed {
 				a.forget("peer")
 			}
-			qt.Assert(t, a.silent("peer", limit, s.now), qt.Equals, s.want)
+			qt.Assert(t, a.isUnresponsive("peer", limit, s.now), qt.Equals, s.want)
 		})
 	}
 }
 
-// A front that was taken for silent but lives would wait for an answer that
-// never comes, since the owner has dropped its job.
-func TestASilentFrontGetsItsJobsBack(t *testing.T) {
+// Guards against a live front that waits forever: an owner that removes the jobs of an
+// unresponsive front has to return them to it.
+func TestJobsOfAnUnresponsiveFrontAreReturned(t *testing.T) {
 	type scenario struct {
 		testName string
 		reason   string
 		want     int // answers
 	}
 	scenarios := []scenario{
-		{testName: "silent", reason: reasonFrontSilent, want: 1},
-		{testName: "gone", reason: reasonFrontGone},
+		{testName: "unresponsive", reason: reasonFrontSilent, want: 1},
+		{testName: "its link has closed", reason: reasonFrontGone},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -74,13 +74,13 @@
 	}
 }
 
-// The link towards a front may be reset while the front's own is up. The front
-// would wait for an answer to its job until its caller leaves.
-func TestALinkTowardsAFrontThatGoesDownLeavesItsJobs(t *testing.T) {
+// Guards against an owner that removes a front's jobs when its own link towards the front goes
+// down, while the front still waits for their outcomes on the link that it opened itself.
+func TestJobsOutlastTheLinkTowardsTheirFront(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
 	listed := newListing(0, &catalog.Executors{}, nil, nil)
-	listed.cells["z"] = nil // else the end of the link may have the idle cell released as gone
+	listed.cells["z"] = nil // so that the idle cell isn't released as removed when the link goes down
 	n.executors.Store(listed)
 	n.claim("z", n.Clock.Now())
 	j := &job.Job{ID: "00112233445566ff", Steps: []job.Step{{Count: 1}}, Deadline: n.Clock.Now() + time.Minute}
--- a/pkg/node/complete_test.go
+++ b/pkg/node/complete_test.go
@@ -8,23 +8,23 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// After a cut the list lacks executors whose entries have lapsed and that go on
-// running tasks. A new owner that takes it for whole starts these a second time.
-func TestWhichListsAreWhole(t *testing.T) {
-	const since = 10 * time.Second // the store has been readable since
+// Guards against starting tasks twice: after a partition the list may lack executors whose
+// entries have lapsed while they run tasks, so a new owner must not take it for complete.
+func TestWhichListsAreComplete(t *testing.T) {
+	const since = 10 * time.Second
 	type scenario struct {
 		testName string
-		since    time.Duration
+		since    time.Duration // the store has been readable since; 0 if it isn't
 		askedAt  time.Duration
 		claimed  time.Duration
 		want     bool
 	}
 	scenarios := []scenario{
-		{testName: "read after the claim, the store long readable", since: since, askedAt: 20 * time.Second, claimed: 19 * time.Second, want: true},
+		{testName: "read after the claim, the store readable for long", since: since, askedAt: 20 * time.Second, claimed: 19 * time.Second, want: true},
 		{testName: "read before the claim", since: since, askedAt: 18 * time.Second, claimed: 19 * time.Second},
-		{testName: "the store can be read again since a moment ago", since: since, askedAt: 12 * time.Second, claimed: 11 * time.Second},
-		{testName: "passed on by a peer", since: since, askedAt: unknownAge, claimed: 19 * time.Second},
-		{testName: "the store can't be read", since: 0, askedAt: 20 * time.Second, claimed: 19 * time.Second},
+		{testName: "the store has been readable again only recently", since: since, askedAt: 12 * time.Second, claimed: 11 * time.Second},
+		{testName: "relayed by a peer", since: since, askedAt: unknownAge, claimed: 19 * time.Second},
+		{testName: "the store is unreadable", since: 0, askedAt: 20 * time.Second, claimed: 19 * time.Second},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/pkg/node/front.go
+++ b/pkg/node/front.go
@@ -10,18 +10,18 @@
 	"github.com/foxcroft/foxcroft/pkg/job"
 )
 
-// comeBack is the advice to callers that were refused.
+// comeBack is the retry delay suggested to callers whose jobs were refused.
 const comeBack = time.Second
 
-// front holds callers' jobs open and hands each to the owner of a cell.
+// front holds callers' requests open and dispatches each job to the owner of a cell.
 type front struct {
 	node    *Node
 	calls   *calls
-	stopsAt atomic.Int64 // when open jobs are given up, as a time of the node's clock; 0 while no stop is under way
+	stopsAt atomic.Int64 // when open jobs are abandoned, by the node's clock; 0 unless the node is stopping
 
 	mu         sync.Mutex
 	open       map[string]*openJob // by job id
-	dispatched map[string]int      // jobs and parts that are with another node, by its address
+	dispatched map[string]int      // number of jobs and parts dispatched to another node, by its address
 }
 
 func newFront(n *Node) *front {
@@ -34,13 +34,13 @@
 	}
 }
 
-// Why a front no longer waits for a job.
+// Causes for which a front abandons a job.
 var (
 	errCancelled = errors.New("caller_cancelled")
 	errStopping  = errors.New("stopping")
 )
 
-// abandoned returns the end of a job that the front no longer waits for.
+// abandoned returns the outcome of a job that the front no longer waits for.
 func abandoned(ctx context.Context, started bool) job.Outcome {
 	reason := "caller_left"
 	if cause := context.Cause(ctx); errors.Is(cause, errCancelled) || errors.Is(cause, errStopping) || errors.Is(cause, errDeadline) {
@@ -52,10 +52,10 @@
 	return job.Outcome{Kind: job.Expired, Reason: reason, Started: started}
 }
 
-// submit answers for a job and tells its end.
+// submit runs a job to its outcome, and records the outcome in the metrics and the log.
 func (f *front) submit(ctx context.Context, j *job.Job) job.Outcome {
 	var outcome job.Outcome
-	if f.tooLateFor(j) {
+	if f.stopsBeforeEnd(j) {
 		outcome = f.turnAway(ctx, j)
 	} else {
 		outcome = f.keepOpen(ctx, j)
@@ -71,15 +71,15 @@
 	return outcome
 }
 
-// tooLateFor reports whether this node stops before a job can be done. Callers
-// may come until the end, where too few other nodes of the domain are ready.
-func (f *front) tooLateFor(j *job.Job) bool {
+// stopsBeforeEnd reports whether this node stops before the job can complete. A stopping
+// node still receives jobs if too few other nodes of its domain are ready.
+func (f *front) stopsBeforeEnd(j *job.Job) bool {
 	stopsAt := time.Duration(f.stopsAt.Load())
 	return stopsAt > 0 && f.node.Clock.Now()+j.LongestChain() > stopsAt
 }
 
-// keepOpen keeps a job open until it has ended. One that is open already ends once
-// for all that wait for it.
+// keepOpen holds a job open until it ends. If a job with this id is open already, the
+// caller joins it and receives the same outcome.
 func (f *front) keepOpen(ctx context.Context, j *job.Job) job.Outcome {
 	open, former := f.enter(j)
 	if open.job != j {
@@ -87,17 +87,17 @@
 	}
 	stop := context.AfterFunc(ctx, func() { f.leave(open) })
 	defer stop()
-	outcome := ofAllSendings(f.carry(open, former))
+	outcome := ofAllSendings(f.joinOrFollow(open, former))
 	f.end(open, outcome)
 	return outcome
 }
 
-// carry follows a job from owner to owner until it has ended, or has it end at the
-// front that holds an earlier sending open.
-func (f *front) carry(open, former *openJob) job.Outcome {
+// joinOrFollow waits for the outcome of an earlier submission at the front that holds it
+// open. Without one it follows the job from owner to owner until it ends.
+func (f *front) joinOrFollow(open, former *openJob) job.Outcome {
 	j, ctx := open.job, open.ctx
 	f.node.openNews.opened(j)
-	outcome, state, ended := f.begin(open, former)
+	outcome, state, ended := f.firstAttempt(open, former)
 	if ended {
 		return outcome
 	}
@@ -106,20 +106,21 @@
 	if len(shares) == 0 {
 		return f.follow(ctx, j, state)
 	}
-	f.markWide(open)
+	f.markSplit(open)
 	return f.followParts(ctx, j, shares, state)
 }
 
-// begin returns how to begin a job, or its end at another front.
-func (f *front) begin(open, former *openJob) (job.Outcome, attempt, bool) {
+// firstAttempt returns the state of the first attempt of a job, or, with ended set, the
+// outcome of an earlier submission of it.
+func (f *front) firstAttempt(open, former *openJob) (outcome job.Outcome, state attempt, ended bool) {
 	if former != nil && former.cell != "" {
-		return job.Outcome{}, f.afterFormer(open.ctx, former), false
+		return job.Outcome{}, f.attemptAfter(open.ctx, former), false
 	}
 	return f.joinElsewhere(open.ctx, open)
 }
 
-// giveUpOpen ends the wait for all open jobs, so that their callers get an
-// answer while this node can still give one.
+// giveUpOpen abandons all open jobs, so that their callers get an answer before this
+// node stops.
 func (f *front) giveUpOpen() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/node/front_test.go
+++ b/pkg/node/front_test.go
@@ -11,45 +11,46 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestWhereAJobStaysAfterAnOwner(t *testing.T) {
+// A job that may have run stays with its cell, so that the next owner finds its runs.
+func TestAttemptStateAfterAnOwner(t *testing.T) {
 	const settle = 5 * time.Second
 	progress := []job.Progress{{Key: job.TaskKey{Step: 0, Index: 1}, Done: true}}
 	type scenario struct {
 		testName     string
-		take         func(a *attempt)
+		apply        func(a *attempt)
 		wantCell     string
 		wantStarted  bool
 		wantProgress []job.Progress
 	}
 	scenarios := []scenario{
 		{
-			testName:     "given back while it runs: its cell's next owner adopts it",
-			take:         func(a *attempt) { a.moved("cell", job.Outcome{Started: true, Progress: progress}, settle) },
+			testName:     "returned while it runs: the next owner of its cell adopts it",
+			apply:        func(a *attempt) { a.moved("cell", job.Outcome{Started: true, Progress: progress}, settle) },
 			wantCell:     "cell",
 			wantStarted:  true,
 			wantProgress: progress,
 		},
 		{
-			testName: "given back before it started: any cell may have it",
-			take:     func(a *attempt) { a.moved("cell", job.Outcome{}, settle) },
+			testName: "returned before it started: any cell may run it",
+			apply:    func(a *attempt) { a.moved("cell", job.Outcome{}, settle) },
 		},
 		{
-			testName:     "refused untouched by one that is no owner: nothing changes",
-			take:         func(a *attempt) { a.moved("other", job.Outcome{Reason: reasonNotOwner}, 2*settle) },
+			testName:     "returned untouched by a host that isn't the owner: the state stays",
+			apply:        func(a *attempt) { a.moved("other", job.Outcome{Reason: reasonNotOwner}, 2*settle) },
 			wantCell:     "before",
 			wantProgress: progress,
 		},
 		{
-			testName: "given back by a closed cell: nothing of it runs there",
-			take: func(a *attempt) {
+			testName: "returned by a closed cell: no runs of it are alive there",
+			apply: func(a *attempt) {
 				a.moved("cell", job.Outcome{Reason: cell.ReasonClosed, Started: true, Progress: progress}, settle)
 			},
 			wantStarted:  true,
 			wantProgress: progress,
 		},
 		{
-			testName:    "lost with its owner: it may run there, and what was known is old",
-			take:        func(a *attempt) { a.lost("cell", settle) },
+			testName:    "lost with its owner: it may run there, and its known progress is outdated",
+			apply:       func(a *attempt) { a.lost("cell", settle) },
 			wantCell:    "cell",
 			wantStarted: true,
 		},
@@ -61,7 +62,7 @@
 			if s.wantCell == "before" {
 				a.lostCell, a.progress = "before", progress
 			}
-			s.take(a)
+			s.apply(a)
 			c.Assert(a.lostCell, qt.Equals, s.wantCell)
 			c.Assert(a.started, qt.Equals, s.wantStarted)
 			c.Assert(a.progress, qt.DeepEquals, s.wantProgress)
@@ -69,8 +70,8 @@
 	}
 }
 
-// After a restart of everything the first owners of all would else get every
-// domain's jobs, and refuse most of them.
+// Guards against an overload of the first owners after a restart of all hosts: a starting node
+// sends jobs to other domains only if its own domain has no owner for long.
 func TestAStartingNodeKeepsJobsForItsOwnDomain(t *testing.T) {
 	type scenario struct {
 		testName  string
@@ -97,8 +98,8 @@
 	}
 }
 
-// A job of which nothing has run isn't held for an owner that could only answer
-// it too late.
+// A job that hasn't started waits for an owner only as long as its outcome could still have
+// value.
 func TestHowLongAJobWaitsForAnOwner(t *testing.T) {
 	const (
 		task    = 100 * time.Millisecond
@@ -115,9 +116,9 @@
 		want     time.Duration
 	}
 	scenarios := []scenario{
-		{testName: "until its answer would be worth nothing", deadline: dead, target: target, want: latestA},
+		{testName: "until its outcome would have no value", deadline: dead, target: target, want: latestA},
 		{testName: "until its deadline can't be met", deadline: 200 * time.Millisecond, target: target, want: 100 * time.Millisecond},
-		{testName: "no longer than a takeover takes", deadline: dead, target: dead, want: noOwnerWait},
+		{testName: "no longer than noOwnerWait", deadline: dead, target: dead, want: noOwnerWait},
 		{testName: "started: its deadline counts", deadline: time.Second, target: target, state: attempt{started: true}, want: time.Second},
 	}
 	for _, s := range scenarios {
--- a/pkg/node/join.go
+++ b/pkg/node/join.go
@@ -11,16 +11,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Answers to a front that asks to join a job, all of kind job.Moved.
+// Reasons in replies to a join request whose job has no outcome yet. All these replies are
+// of kind job.Moved.
 const (
-	reasonNotOpen  = "not_open"           // no run of the job is alive once RetryAfter is over
-	reasonYields   = "yields"             // the same, by one that has it open and will ask the asker
-	reasonFrontOut = "front_out_of_sight" // the same, by one of the front's domain that was asked in its place
-	reasonBusy     = "ask_again"          // the front searches, or the way to it has broken
+	reasonNotOpen          = "not_open"           // no run of the job is alive after RetryAfter
+	reasonYields           = "yields"             // also searched for here, and the asker goes first; no run is alive after RetryAfter
+	reasonFrontUnreachable = "front_out_of_sight" // from a host of the front's domain without a link to it; no run is alive after RetryAfter
+	reasonBusy             = "ask_again"          // unresolved: the front is still searching itself, or the link to it broke
 )
 
-// joinElsewhere has a job that another front holds open end there. It returns false,
-// and how to begin, when none does and no run of an earlier sending can be alive.
+// joinElsewhere returns the outcome of an earlier submission of a job, from this front's
+// record or from the front that holds it open. If there is none, it returns false and the
+// state to begin with, once no run of an earlier submission can be alive.
 func (f *front) joinElsewhere(ctx context.Context, open *openJob) (job.Outcome, attempt, bool) {
 	n, j := f.node, open.job
 	own := n.endOf(j.ID)
@@ -43,13 +45,14 @@
 	return job.Outcome{}, attempt{epoch: 2, started: true}, false
 }
 
-// rejoin has a job end elsewhere that this front handed to an owner and has back, when it
-// has come again meanwhile: this front may have been out of sight, or have stood still, so
-// that another one took it for gone.
+// rejoin joins a job that an owner returned to this front, if it was meanwhile resubmitted
+// to another one. That happens if this front was unreachable or paused, so that the other
+// front took it for dead. After such a fault it first waits for the announcements of the
+// other fronts.
 func (f *front) rejoin(ctx context.Context, j *job.Job) (job.Outcome, bool) {
 	n := f.node
-	if back := n.openNews.heardAgainAt(); n.Clock.Now() < back && n.Clock.Now() >= j.Received+openjobs.AnnounceAfter(n.settings.ResubmitAfter) {
-		f.sleepUntil(ctx, back)
+	if resyncedAt := n.openNews.resyncedAt(); n.Clock.Now() < resyncedAt && n.Clock.Now() >= j.Received+openjobs.AnnounceAfter(n.settings.ResubmitAfter) {
+		f.sleepUntil(ctx, resyncedAt)
 	}
 	if len(n.openNews.find(j.WholeID(), n.Clock.Now())) == 0 {
 		return job.Outcome{}, false
@@ -57,8 +60,9 @@
 	return f.search(ctx, j.WholeID(), openjobs.NewSearch(j.WholeID(), 0), true)
 }
 
-// search asks the fronts that may hold a job open, until it has ended at one of them or
-// none does and no run of it can be alive.
+// search asks the fronts that may hold a job open until one returns its outcome. It returns
+// false once none holds the job open and no run of it can be alive. follows tells that
+// this front already follows the job.
 func (f *front) search(ctx context.Context, id string, search *openjobs.Search, follows bool) (job.Outcome, bool) {
 	n := f.node
 	began := n.Clock.Now()
@@ -78,7 +82,8 @@
 	}
 }
 
-// askAll asks all fronts that may hold a job open, and returns its end if one does.
+// askAll does one round of a search: it asks each front that may hold the job open, and
+// returns the job's outcome if one of them does.
 func (f *front) askAll(ctx context.Context, id string, search *openjobs.Search, follows bool) (job.Outcome, bool) {
 	n := f.node
 	n.openNews.mu.Lock()
@@ -93,33 +98,34 @@
 			return abandoned(ctx, true), true
 		}
 		link := n.links.Link(entry.Front.Address)
-		sight := n.sightOf(entry.Front)
+		vantage := n.vantageOf(entry.Front)
 		n.openNews.mu.Lock()
-		search.HandleReplies(n.openNews.others, entry, replies, sight, link != nil && link.Up(), n.Clock.Now())
+		search.HandleReplies(n.openNews.others, entry, replies, vantage, link != nil && link.Up(), n.Clock.Now())
 		n.openNews.mu.Unlock()
 	}
 	return job.Outcome{}, false
 }
 
-// ask asks for one front, by the ways that there are until one settles it, and
-// returns the job's end there if it is found.
-func (f *front) ask(ctx context.Context, id string, entry *openjobs.Entry, follows bool) (end job.Outcome, replies []openjobs.Reply, found bool) {
+// ask sends a join request for one front's job over each host that may reach that front,
+// until a reply is conclusive. It returns the job's outcome if found is set, and otherwise
+// the replies.
+func (f *front) ask(ctx context.Context, id string, entry *openjobs.Entry, follows bool) (outcome job.Outcome, replies []openjobs.Reply, found bool) {
 	n := f.node
-	for _, way := range entry.Contacts(n.othersToAsk()...) {
-		link := n.links.Link(way)
+	for _, via := range entry.Contacts(n.hostsToAsk()...) {
+		link := n.links.Link(via)
 		if link == nil || !link.Up() {
 			continue
 		}
-		outcome, answered := f.askBy(ctx, link, way, n.joinOf(id, entry.Front, follows))
+		outcome, answered := f.askVia(ctx, link, via, n.joinRequest(id, entry.Front, follows))
 		if ctx.Err() != nil {
 			return job.Outcome{}, nil, false
 		}
 		if answered && outcome.Kind != job.Moved {
-			n.Log.Info("job_joined", "job", id, "front", entry.Front.Address, "by", way, "outcome", outcome.Kind.String())
+			n.Log.Info("job_joined", "job", id, "front", entry.Front.Address, "by", via, "outcome", outcome.Kind.String())
 			n.metrics.JobJoined("elsewhere")
 			return outcome, nil, true
 		}
-		reply := verdictOf(outcome, answered, n.Clock.Now())
+		reply := toReply(outcome, answered, n.Clock.Now())
 		replies = append(replies, reply)
 		if reply.Verdict == openjobs.NotOpen || reply.Verdict == openjobs.Yields {
 			break
@@ -128,8 +134,8 @@
 	return job.Outcome{}, replies, false
 }
 
-// verdictOf reads the answer to a front that asks to join a job that hasn't ended there.
-func verdictOf(outcome job.Outcome, answered bool, now time.Duration) openjobs.Reply {
+// toReply converts the answer to a join request that brought no outcome of the job.
+func toReply(outcome job.Outcome, answered bool, now time.Duration) openjobs.Reply {
 	reply := openjobs.Reply{At: now, RunsEndBy: now + outcome.RetryAfter}
 	switch {
 	case !answered:
@@ -138,7 +144,7 @@
 		reply.Verdict = openjobs.NotOpen
 	case outcome.Reason == reasonYields:
 		reply.Verdict = openjobs.Yields
-	case outcome.Reason == reasonFrontOut:
+	case outcome.Reason == reasonFrontUnreachable:
 		reply.Verdict = openjobs.Unreachable
 	default:
 		reply.Verdict = openjobs.Busy
@@ -146,17 +152,17 @@
 	return reply
 }
 
-// markStarted notes that an earlier sending of a job may have started.
+// markStarted records that an earlier submission of a job may have started.
 func (f *front) markStarted(open *openJob) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	open.started = true
 }
 
-// reached takes an answer by way of another host, which the front gave unless that
-// one says that it is out of sight there too.
-func (o *openNews) reached(address string, outcome *peerpb.Outcome, now time.Duration) {
-	if outcome == nil || outcome.Reason == reasonFrontOut {
+// confirmAlive records that a front is alive after an answer that another host relayed.
+// The answer is the front's own, unless that host reports the front as unreachable.
+func (o *openNews) confirmAlive(address string, outcome *peerpb.Outcome, now time.Duration) {
+	if outcome == nil || outcome.Reason == reasonFrontUnreachable {
 		return
 	}
 	o.mu.Lock()
@@ -164,24 +170,25 @@
 	o.others.ConfirmAlive(address, now)
 }
 
-// joinOf makes the wish of this front to wait for a job.
-func (n *Node) joinOf(id string, front openjobs.Front, follows bool) *peerpb.Join {
+// joinRequest makes this front's request to wait for a job that another front holds open.
+func (n *Node) joinRequest(id string, front openjobs.Front, follows bool) *peerpb.Join {
 	return &peerpb.Join{
 		Id: id, Front: front.Address, Process: []byte(front.Process),
 		Asker: n.settings.PeerAddress, AskerProcess: n.inc[:], Follows: follows,
 	}
 }
 
-// askBy asks one host to let a front wait for a job, and tells it when that one leaves.
-// The link beats fast meanwhile, so that a host that dies is soon known as lost.
-func (f *front) askBy(ctx context.Context, link *peer.Link, way string, wish *peerpb.Join) (job.Outcome, bool) {
-	defer f.noteDispatch(way)()
-	answer, err := link.Call(ctx, &peerpb.Message{Body: &peerpb.Message_Join{Join: wish}}, 0)
-	if err == nil && way != wish.Front {
-		f.node.openNews.reached(wish.Front, answer.GetOutcome(), f.node.Clock.Now())
+// askVia sends a join request to the front itself or to a host that relays it, and
+// withdraws it when ctx ends. Meanwhile the link sends heartbeats at the fast rate, so that
+// the death of the host is detected soon.
+func (f *front) askVia(ctx context.Context, link *peer.Link, via string, request *peerpb.Join) (job.Outcome, bool) {
+	defer f.noteDispatch(via)()
+	answer, err := link.Call(ctx, &peerpb.Message{Body: &peerpb.Message_Join{Join: request}}, 0)
+	if err == nil && via != request.Front {
+		f.node.openNews.confirmAlive(request.Front, answer.GetOutcome(), f.node.Clock.Now())
 	}
 	if ctx.Err() != nil {
-		leave := proto.Clone(wish).(*peerpb.Join)
+		leave := proto.Clone(request).(*peerpb.Join)
 		leave.Wish = peerpb.Join_LEAVE
 		if context.Cause(ctx) == errCancelled {
 			leave.Wish = peerpb.Join_CANCEL
@@ -190,7 +197,7 @@
 		return job.Outcome{}, false
 	}
 	if err != nil {
-		f.node.Log.Info("join_unanswered", "job", wish.Id, "front", wish.Front, "by", way, "error", err.Error())
+		f.node.Log.Info("join_unanswered", "job", request.Id, "front", request.Front, "by", via, "error", err.Error())
 		return job.Outcome{}, false
 	}
 	if outcome := answer.GetOutcome(); outcome != nil {
--- a/pkg/node/join_test.go
+++ b/pkg/node/join_test.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	joinResubmit = 300 * time.Millisecond // so that news is told at once
+	joinResubmit = 300 * time.Millisecond // short, so that open jobs are announced at once
 	joinDeadline = 20 * time.Second
 	joinID       = "00112233445566ff"
 )
 
-// peerNode is a node that only serves and calls peers.
+// peerNode starts a node that only serves and calls peers.
 func peerNode(t *testing.T, name, domain string, incarnation byte) *Node {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,18 +38,18 @@
 	c.Assert(err, qt.IsNil)
 	n.peers = peer.NewServer(n.Common, listener, n, n, n.counters)
 	go n.peers.Serve()
-	t.Cleanup(func() { dies(n) })
+	t.Cleanup(func() { closeNode(n) })
 	return n
 }
 
-// dies ends all that a node does for its peers.
-func dies(n *Node) {
+// closeNode closes a node's links and its peer server.
+func closeNode(n *Node) {
 	n.links.Close()
 	n.peers.Close()
 }
 
-// link has nodes hold links to each other.
-func link(t *testing.T, nodes ...*Node) {
+// linkAll links nodes with each other, and waits until all links are up.
+func linkAll(t *testing.T, nodes ...*Node) {
 	for _, n := range nodes {
 		var addresses []string
 		for _, other := range nodes {
@@ -63,14 +63,14 @@
 		n.refreshLinks()
 	}
 	for _, n := range nodes {
-		eventually(qt.New(t), func() bool { return len(n.peersInSight()) >= len(nodes)-1 })
+		eventually(qt.New(t), func() bool { return len(n.reachablePeers()) >= len(nodes)-1 })
 	}
 }
 
-// pairOf makes two nodes of a domain that are linked.
+// pairOf starts two linked nodes of one domain.
 func pairOf(t *testing.T) (a, b *Node) {
 	a, b = peerNode(t, "a", "z", 1), peerNode(t, "b", "z", 2)
-	link(t, a, b)
+	linkAll(t, a, b)
 	return a, b
 }
 
@@ -79,7 +79,7 @@
 	return &job.Job{ID: joinID, Service: "s", Steps: []job.Step{{Count: 1}}, Received: now, Deadline: now + joinDeadline}
 }
 
-// hold has a node hold a job open, and tell others of it.
+// hold opens a job at a node and announces it.
 func hold(n *Node) *openJob {
 	open, _ := n.front.enter(sending(n))
 	n.openNews.opened(open.job)
@@ -96,7 +96,7 @@
 	return open.waiters
 }
 
-// submitLater has a caller send the job to a node and returns where its answer comes.
+// submitLater submits the job to a node in the background and returns a channel for its outcome.
 func submitLater(ctx context.Context, n *Node) chan job.Outcome {
 	answer := make(chan job.Outcome, 1)
 	go func() { answer <- n.Submit(ctx, sending(n)) }()
@@ -105,41 +105,41 @@
 
 var completed = job.Outcome{Kind: job.Completed, Started: true}
 
-func TestAJobThatComesAgainEndsWhereItIsOpen(t *testing.T) {
+func TestAResubmittedJobJoinsTheOpenJob(t *testing.T) {
 	type scenario struct {
 		testName string
-		nodes    func(t *testing.T) (holder, again *Node)
+		nodes    func(t *testing.T) (holder, resubmittedTo *Node)
 	}
 	scenarios := []scenario{
 		{testName: "at another front", nodes: pairOf},
-		{testName: "at the same front", nodes: func(t *testing.T) (holder, again *Node) {
+		{testName: "at the same front", nodes: func(t *testing.T) (holder, resubmittedTo *Node) {
 			a, _ := pairOf(t)
 			return a, a
 		}},
-		{testName: "at a front of another domain that has no link to the first", nodes: func(t *testing.T) (holder, again *Node) {
+		{testName: "at a front of another domain that has no link to the first", nodes: func(t *testing.T) (holder, resubmittedTo *Node) {
 			a, between, b := peerNode(t, "a", "y", 1), peerNode(t, "between", "z", 2), peerNode(t, "b", "z", 3)
-			link(t, a, between)
-			link(t, between, b)
+			linkAll(t, a, between)
+			linkAll(t, between, b)
 			return a, b
 		}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			holder, again := s.nodes(t)
+			holder, resubmittedTo := s.nodes(t)
 			open := hold(holder)
-			eventually(c, func() bool { return holder == again || knows(again) })
-			answer := submitLater(context.Background(), again)
+			eventually(c, func() bool { return holder == resubmittedTo || knows(resubmittedTo) })
+			answer := submitLater(context.Background(), resubmittedTo)
 			eventually(c, func() bool { return waiters(holder, open) == 2 })
 			holder.front.end(open, completed)
 			c.Assert(<-answer, qt.DeepEquals, completed)
-			c.Assert(again.openJobs(), qt.Equals, 0)
+			c.Assert(resubmittedTo.openJobs(), qt.Equals, 0)
 		})
 	}
 }
 
-// What is told of a wide job is its whole, and so its callers join the whole.
-func TestAWideJobThatComesAgainIsJoinedAsAWhole(t *testing.T) {
+// A split job is announced as its parent job, so a resubmission joins the parent job.
+func TestAResubmittedSplitJobJoinsTheParentJob(t *testing.T) {
 	c := qt.New(t)
 	a, b := pairOf(t)
 	load := ownership.Load{CapacityCPU: 1000, FreeCPU: 1000, Ready: true, Services: []string{"s"}}
@@ -147,31 +147,31 @@
 	a.claims.SetClaims("far:1", []ownership.Claim{{Cell: "y", Token: 1, Load: load}})
 	a.claims.SetClaims("near:1", []ownership.Claim{{Cell: "z", Token: 1, Load: load}})
 	a.mu.Unlock()
-	wide := sending(a)
-	wide.Steps = []job.Step{{Count: 8, Needs: job.Resources{CPU: 100}}}
+	splitJob := sending(a)
+	splitJob.Steps = []job.Step{{Count: 8, Needs: job.Resources{CPU: 100}}}
 	first := make(chan job.Outcome, 1)
-	go func() { first <- a.Submit(context.Background(), wide) }()
+	go func() { first <- a.Submit(context.Background(), splitJob) }()
 	eventually(c, func() bool { a.tellOpenJobs(a.Clock.Now()); return knows(b) })
-	open, isCarried := a.front.joinable(joinID)
-	c.Assert(isCarried, qt.IsTrue)
-	c.Assert(open.wide, qt.IsTrue)
+	open, isFollowed := a.front.joinable(joinID)
+	c.Assert(isFollowed, qt.IsTrue)
+	c.Assert(open.isSplit, qt.IsTrue)
 	a.front.leave(open)
 	second := submitLater(context.Background(), b)
 	eventually(c, func() bool { return waiters(a, open) == 2 })
 	c.Assert(b.Cancel(joinID), qt.IsTrue)
 	c.Assert((<-second).Reason, qt.Equals, errCancelled.Error())
-	c.Assert((<-first).Reason, qt.Equals, errCancelled.Error(), qt.Commentf("who cancels a job cancels it everywhere"))
+	c.Assert((<-first).Reason, qt.Equals, errCancelled.Error(), qt.Commentf("a cancellation applies to all submissions of the job"))
 }
 
-// The job ends with the last of those that wait, in whatever way they leave.
-func TestAJobEndsWhenAllThatWaitHaveLeft(t *testing.T) {
+// A job is abandoned when its last waiter has left, in whatever way it leaves.
+func TestAJobIsAbandonedWhenTheLastWaiterLeaves(t *testing.T) {
 	type scenario struct {
 		testName string
-		leaves   func(again *Node, leave context.CancelFunc)
+		leaves   func(joined *Node, leave context.CancelFunc)
 	}
 	scenarios := []scenario{
 		{testName: "the caller leaves", leaves: func(_ *Node, leave context.CancelFunc) { leave() }},
-		{testName: "its front dies", leaves: func(again *Node, _ context.CancelFunc) { dies(again) }},
+		{testName: "its front dies", leaves: func(joined *Node, _ context.CancelFunc) { closeNode(joined) }},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -184,7 +184,7 @@
 			submitLater(ctx, b)
 			eventually(c, func() bool { return waiters(a, open) == 2 })
 			a.front.leave(open)
-			c.Assert(open.ctx.Err(), qt.IsNil, qt.Commentf("the other one still waits"))
+			c.Assert(open.ctx.Err(), qt.IsNil, qt.Commentf("the other front still waits"))
 			s.leaves(b, leave)
 			eventually(c, func() bool { return open.ctx.Err() != nil })
 			a.front.end(open, abandoned(open.ctx, true))
@@ -192,21 +192,21 @@
 	}
 }
 
-// A front that doesn't hold the job open any more says how it has ended, or for how long
-// runs of it may go on.
-func TestAJobThatIsNotOpenAnyMore(t *testing.T) {
+// Guards against a second start of a job while runs of it are alive: a front where the job has
+// ended replies with its outcome, or with the time after which no run of it is alive.
+func TestAResubmittedJobThatIsNoLongerOpen(t *testing.T) {
 	lost := job.Outcome{Kind: job.Expired, Reason: "caller_left", Started: true}
 	refused := job.Outcome{Kind: job.Refused, Reason: reasonNoOwner, RetryAfter: comeBack}
 	type scenario struct {
 		testName string
 		end      job.Outcome
 		want     job.Kind
-		waits    bool // for runs that may go on
+		waits    bool // until no run of it can be alive
 	}
 	scenarios := []scenario{
-		{testName: "completed: that is the answer", end: completed, want: job.Completed},
-		{testName: "failed: too", end: job.Outcome{Kind: job.Failed, Started: true}, want: job.Failed},
-		{testName: "given up: it starts when its runs are over", end: lost, want: job.Expired, waits: true},
+		{testName: "completed: its outcome is the answer", end: completed, want: job.Completed},
+		{testName: "failed: its outcome is the answer", end: job.Outcome{Kind: job.Failed, Started: true}, want: job.Failed},
+		{testName: "abandoned: it starts when its runs have ended", end: lost, want: job.Expired, waits: true},
 		{testName: "refused untouched: it starts at once", end: refused, want: job.Expired},
 	}
 	for _, s := range scenarios {
@@ -217,11 +217,11 @@
 			eventually(c, func() bool { return knows(b) })
 			a.front.end(open, s.end)
 			ended := time.Now()
-			b.openNews.backAt = -time.Hour
-			handedOn := startOf(b)
+			b.openNews.resumedAt = -time.Hour
+			followed := awaitFollowed(b)
 			answer := submitLater(context.Background(), b)
 			if s.want == job.Expired {
-				<-handedOn
+				<-followed
 				c.Assert(time.Since(ended) > a.settleTime()*9/10, qt.Equals, s.waits, qt.Commentf("after %s", time.Since(ended)))
 				b.Cancel(joinID)
 			}
@@ -232,54 +232,55 @@
 	}
 }
 
-// startOf returns a channel that is closed once a node follows the job itself.
-func startOf(n *Node) chan struct{} {
-	started := make(chan struct{})
+// awaitFollowed returns a channel that is closed once a node follows the job itself, or after
+// joinDeadline.
+func awaitFollowed(n *Node) chan struct{} {
+	followed := make(chan struct{})
 	go func() {
-		defer close(started)
+		defer close(followed)
 		for end := time.Now().Add(joinDeadline); time.Now().Before(end); time.Sleep(time.Millisecond) {
 			n.front.mu.Lock()
 			open := n.front.open[joinID]
-			isCarried := open != nil && open.isCarried
+			isFollowed := open != nil && open.isFollowed
 			n.front.mu.Unlock()
-			if isCarried {
+			if isFollowed {
 				return
 			}
 		}
 	}()
-	return started
+	return followed
 }
 
-// A front that dies while another one waits for it has vouched until then. One of its
-// domain goes on when the leases are over; for a host of another domain it may live on.
+// A front of the same domain continues a dead front's job once the leases have ended. A host of
+// another domain must not start it, since it can't tell whether the front is dead or cut off.
 func TestAFrontThatDiesWhileAnotherWaits(t *testing.T) {
 	type scenario struct {
 		testName string
 		domain   string
-		goesOn   bool
+		follows  bool // the front that waits, in the end
 	}
 	scenarios := []scenario{
-		{testName: "of the same domain", domain: "z", goesOn: true},
-		{testName: "of another one, of which nobody is in sight", domain: "y"},
+		{testName: "of the same domain", domain: "z", follows: true},
+		{testName: "of another domain, of which no host is reachable", domain: "y"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			a, b, mate := peerNode(t, "a", s.domain, 1), peerNode(t, "b", "z", 2), peerNode(t, "mate", "z", 3)
-			link(t, a, b, mate)
+			a, b, third := peerNode(t, "a", s.domain, 1), peerNode(t, "b", "z", 2), peerNode(t, "third", "z", 3)
+			linkAll(t, a, b, third)
 			open := hold(a)
 			eventually(c, func() bool { return knows(b) })
-			handedOn := startOf(b)
+			followed := awaitFollowed(b)
 			answer := submitLater(context.Background(), b)
 			eventually(c, func() bool { return waiters(a, open) == 2 })
 			died := time.Now()
-			dies(a)
+			closeNode(a)
 			select {
-			case <-handedOn:
-				c.Assert(s.goesOn, qt.IsTrue)
+			case <-followed:
+				c.Assert(s.follows, qt.IsTrue)
 				c.Assert(time.Since(died) > a.settleTime()*9/10, qt.IsTrue)
 			case <-time.After(3 * time.Second):
-				c.Assert(s.goesOn, qt.IsFalse)
+				c.Assert(s.follows, qt.IsFalse)
 			}
 			b.Cancel(joinID)
 			c.Assert((<-answer).Started, qt.IsTrue)
@@ -287,43 +288,43 @@
 	}
 }
 
-// What the front of a stopping node gives up others go on with.
-func TestAStoppingFrontHandsItsWaitersOn(t *testing.T) {
+// A job that a stopping front abandons is continued by the front that joined it.
+func TestWaitersContinueAJobThatAStoppingFrontAbandons(t *testing.T) {
 	c := qt.New(t)
 	a, b := pairOf(t)
 	open := hold(a)
 	eventually(c, func() bool { return knows(b) })
-	handedOn := startOf(b)
+	followed := awaitFollowed(b)
 	answer := submitLater(context.Background(), b)
 	eventually(c, func() bool { return waiters(a, open) == 2 })
 	a.front.giveUpOpen()
 	a.front.end(open, abandoned(open.ctx, true))
-	<-handedOn
+	<-followed
 	b.Cancel(joinID)
 	c.Assert((<-answer).Reason, qt.Equals, errCancelled.Error())
 }
 
-// A host that comes back, or that is new, is told of what is open.
-func TestAHostThatMayNotHaveHeardIsToldAgain(t *testing.T) {
+// Guards against a second start at a host that missed the first announcement of an open job.
+func TestANewHostReceivesAnnouncementsOfOpenJobs(t *testing.T) {
 	c := qt.New(t)
 	a, b := pairOf(t)
 	hold(a)
 	eventually(c, func() bool { return knows(b) })
-	late := peerNode(t, "late", "z", 3)
-	link(t, a, late)
-	eventually(c, func() bool { return knows(late) })
+	newcomer := peerNode(t, "late", "z", 3)
+	linkAll(t, a, newcomer)
+	eventually(c, func() bool { return knows(newcomer) })
 }
 
-// A caller that gives up and sends the job again to the same front, which stood still
-// meanwhile, may come there before its leaving does, or after.
-func TestAJobThatComesTwiceToAFrontThatStoodStill(t *testing.T) {
+// A caller that leaves and resubmits the job to the same front, which was paused meanwhile: the
+// front may read the resubmission before the closing of the first connection, or after it.
+func TestAResubmissionToAPausedFront(t *testing.T) {
 	type scenario struct {
 		testName   string
 		leftBefore bool
 	}
 	scenarios := []scenario{
-		{testName: "the second sending is read first: it joins"},
-		{testName: "the leaving is read first: it starts anew after the former has ended", leftBefore: true},
+		{testName: "the resubmission is read first: it joins"},
+		{testName: "the closing is read first: it starts again after the first has ended", leftBefore: true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -342,8 +343,8 @@
 			}
 			second := submitLater(context.Background(), n)
 			eventually(c, func() bool {
-				open, isCarried := n.front.joinable(joinID)
-				if isCarried { // else this look doesn't count among those that wait
+				open, isFollowed := n.front.joinable(joinID)
+				if isFollowed { // joinable has added a waiter
 					n.front.leave(open)
 				}
 				return open != nil && (s.leftBefore || waiters(n, open) == 2)
@@ -358,23 +359,23 @@
 	}
 }
 
-// A former sending that was given up a moment ago stays with its owner, who knows which
-// of its runs are being stopped.
-func TestHowAJobBeginsAfterAFormerSending(t *testing.T) {
+// A job whose earlier submission was just abandoned goes to the same cell, whose owner knows
+// the runs that are being stopped.
+func TestAttemptAfterAnAbandonedSubmission(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
 	former := newOpenJob(sending(n))
-	c.Assert(n.front.afterFormer(context.Background(), former), qt.CmpEquals(cmp.AllowUnexported(attempt{})), attempt{epoch: 1}, qt.Commentf("it hasn't been anywhere"))
+	c.Assert(n.front.attemptAfter(context.Background(), former), qt.CmpEquals(cmp.AllowUnexported(attempt{})), attempt{epoch: 1}, qt.Commentf("it was never dispatched"))
 	former.started, former.cell, former.epoch = true, "y", 2
-	state := n.front.afterFormer(context.Background(), former)
+	state := n.front.attemptAfter(context.Background(), former)
 	c.Assert(state.epoch, qt.Equals, 3)
 	c.Assert(state.started, qt.IsTrue)
 	c.Assert(state.lostCell, qt.Equals, "y")
 	c.Assert(state.settleAt >= n.settleTime(), qt.IsTrue)
 }
 
-// Answers to a front that asks, where the job can't be joined.
-func TestWhatAFrontThatAsksIsTold(t *testing.T) {
+// Replies to join requests for jobs that aren't followed here.
+func TestRepliesToJoinRequests(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
 	n.Clock = &common.ManualClock{At: 500 * time.Millisecond}
@@ -387,17 +388,17 @@
 	former := ask(n.settings.PeerAddress, []byte("former")).GetOutcome()
 	c.Assert(former.Reason, qt.Equals, reasonNotOpen)
 	c.Assert(microseconds(former.RetryAfterUs), qt.Equals, n.settleTime()-500*time.Millisecond, qt.Commentf("that process had ended when this one started"))
-	c.Assert(ask("far:1", nil).GetFailure(), qt.IsNotNil, qt.Commentf("nothing is known of it"))
+	c.Assert(ask("far:1", nil).GetFailure(), qt.IsNotNil, qt.Commentf("the front is unknown"))
 	searching, _ := n.front.enter(sending(n))
 	c.Assert(ask(n.settings.PeerAddress, n.inc[:]).GetOutcome().Reason, qt.Equals, reasonBusy)
 	n.front.markCarried(searching)
 	searching.cancel(errLeft)
-	c.Assert(ask(n.settings.PeerAddress, n.inc[:]).GetOutcome().Reason, qt.Equals, reasonNotOpen, qt.Commentf("it ends"))
+	c.Assert(ask(n.settings.PeerAddress, n.inc[:]).GetOutcome().Reason, qt.Equals, reasonNotOpen, qt.Commentf("it is abandoned and about to end"))
 }
 
-// A front that was cut off waits until it has heard the others before it hands a job on,
-// and has it end where it has come again.
-func TestAFrontThatWasOutOfSightJoinsTheJobThatCameAgain(t *testing.T) {
+// A front that was cut off waits for the announcements of the others before it dispatches a
+// returned job again, and joins the front to which the job was resubmitted.
+func TestAResumedFrontJoinsTheResubmittedJob(t *testing.T) {
 	c := qt.New(t)
 	a, b := pairOf(t)
 	open := hold(b)
--- a/pkg/node/joins.go
+++ b/pkg/node/joins.go
@@ -14,35 +14,36 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// joins are the fronts that wait for jobs that are open here, or that this host asks
-// another one for in their place.
+// joins are the join requests of other fronts that this host is serving: for jobs that are
+// open here, and those that it relays to another front.
 type joins struct {
 	mu      sync.Mutex
-	waiting map[joinKey]*joined
+	waiting map[joinKey]*joinWait
 }
 
-// joinKey tells those that wait apart. A front that asks again takes its own place:
-// it has lost its first call.
+// joinKey identifies a join request. A repeated request of the same front replaces the
+// earlier one, whose call the front has lost.
 type joinKey struct {
-	from  string // address of the host that asks
-	asker string // of the front that it asks for
+	from  string // address of the host that sent the request
+	asker string // address of the front that waits
 	id    string
 }
 
-type joined struct{ cancel context.CancelCauseFunc }
+type joinWait struct{ cancel context.CancelCauseFunc }
 
-func newJoins() *joins { return &joins{waiting: map[joinKey]*joined{}} }
+func newJoins() *joins { return &joins{waiting: map[joinKey]*joinWait{}} }
 
-// add begins a wait and returns the context that ends it, and what to call at its end.
+// add registers a request. It returns a context that ends when the request is cancelled, and
+// a function to call when it is answered.
 func (s *joins) add(key joinKey) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	entry := &joined{cancel: cancel}
+	entry := &joinWait{cancel: cancel}
 	s.mu.Lock()
-	before := s.waiting[key]
+	previous := s.waiting[key]
 	s.waiting[key] = entry
 	s.mu.Unlock()
-	if before != nil {
-		before.cancel(errLeft)
+	if previous != nil {
+		previous.cancel(errLeft)
 	}
 	return ctx, func() {
 		cancel(nil)
@@ -54,8 +55,8 @@
 	}
 }
 
-// left takes that one that waits has left, or has cancelled the job.
-func (s *joins) left(key joinKey, cause error) {
+// cancel ends the wait of a request, because the front has left or has cancelled the job.
+func (s *joins) cancel(key joinKey, cause error) {
 	s.mu.Lock()
 	entry := s.waiting[key]
 	s.mu.Unlock()
@@ -64,7 +65,7 @@
 	}
 }
 
-// gone takes that a host's link has ended: all that wait by it have left.
+// gone cancels all requests that came over a host's link, which has closed.
 func (s *joins) gone(from string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,15 +76,15 @@
 	}
 }
 
-// onJoin takes the wish of a front to wait for a job, or to do so no longer.
+// onJoin handles a front's request to join a job, or its withdrawal.
 func (n *Node) onJoin(from *peerpb.Hello, m *peerpb.Join, reply peer.Reply) {
 	key := joinKey{from: from.Address, asker: m.Asker, id: m.Id}
 	switch m.Wish {
 	case peerpb.Join_LEAVE:
-		n.joins.left(key, errLeft)
+		n.joins.cancel(key, errLeft)
 		return
 	case peerpb.Join_CANCEL:
-		n.joins.left(key, errCancelled)
+		n.joins.cancel(key, errCancelled)
 		return
 	}
 	ctx, end := n.joins.add(key)
@@ -93,27 +94,28 @@
 	}()
 }
 
-// answerJoin waits for the end of a job for another front.
+// answerJoin answers a join request. If the job is followed here, it waits for the outcome.
 func (n *Node) answerJoin(ctx context.Context, m *peerpb.Join) *peerpb.Message {
 	if m.Front != n.settings.PeerAddress {
-		return n.passJoin(ctx, m)
+		return n.relayJoin(ctx, m)
 	}
 	if !bytes.Equal(m.Process, n.inc[:]) {
-		// That process had ended when this one started, a time of its clock ago.
+		// The process asked for had ended when this one started, so its runs end within the
+		// settle time counted from this process's start.
 		return toOutcome(notOpen(n.settleTime() - n.Clock.Now()))
 	}
-	open, isCarried := n.front.joinable(m.Id)
+	open, isFollowed := n.front.joinable(m.Id)
 	switch {
 	case open == nil:
 		return toOutcome(n.endOf(m.Id))
-	case !isCarried:
-		return toOutcome(n.searchesToo(m))
+	case !isFollowed:
+		return toOutcome(n.answerWhileSearching(m))
 	}
 	n.Log.Info("job_joined_from", "job", m.Id, "asker", m.Asker, "age_ms", (n.Clock.Now() - open.job.Received).Milliseconds())
 	outcome, isOver := n.front.await(ctx, open)
 	switch {
 	case isOver && outcome.Reason == errStopping.Error():
-		return toOutcome(notOpen(n.settleTime())) // the other front can go on with it
+		return toOutcome(notOpen(n.settleTime())) // the asking front continues the job
 	case isOver:
 		return toOutcome(outcome)
 	case context.Cause(ctx) == errCancelled:
@@ -122,15 +124,15 @@
 	return toOutcome(job.Outcome{Kind: job.Moved, Reason: reasonBusy})
 }
 
-// searchesToo answers a front about a job that came to this one again too, and that this
-// one searches for itself.
-func (n *Node) searchesToo(m *peerpb.Join) job.Outcome {
+// answerWhileSearching answers a join request for a job that this front is searching for
+// itself, because it was resubmitted to both fronts.
+func (n *Node) answerWhileSearching(m *peerpb.Join) job.Outcome {
 	asker := openjobs.Front{Address: m.Asker, Process: string(m.AskerProcess)}
 	n.openNews.mu.Lock()
 	search := n.openNews.searches[m.Id]
-	yields := search != nil && search.ShouldYield(n.openNews.others, asker, n.settings.PeerAddress, m.Follows, n.Clock.Now())
+	shouldYield := search != nil && search.ShouldYield(n.openNews.others, asker, n.settings.PeerAddress, m.Follows, n.Clock.Now())
 	n.openNews.mu.Unlock()
-	if !yields {
+	if !shouldYield {
 		return job.Outcome{Kind: job.Moved, Reason: reasonBusy}
 	}
 	outcome := n.endOf(m.Id)
@@ -140,15 +142,16 @@
 	return outcome
 }
 
-// notOpen says that no run of a job is alive any more once a time has passed.
-func notOpen(settle time.Duration) job.Outcome {
-	return job.Outcome{Kind: job.Moved, Reason: reasonNotOpen, RetryAfter: max(0, settle)}
+// notOpen is the reply that a job isn't open here, and that no run of it is alive after
+// runsEndIn.
+func notOpen(runsEndIn time.Duration) job.Outcome {
+	return job.Outcome{Kind: job.Moved, Reason: reasonNotOpen, RetryAfter: max(0, runsEndIn)}
 }
 
-// endOf answers for a job that isn't open here any more: by its end, or by when its
-// runs are over.
+// endOf answers for a job that isn't open here: by its outcome if that is final, and
+// otherwise by the time after which none of its runs is alive.
 func (n *Node) endOf(id string) job.Outcome {
-	e, known := n.openNews.endedAt(id)
+	e, known := n.openNews.announcedEnd(id)
 	switch {
 	case !known:
 		return notOpen(0)
@@ -160,12 +163,13 @@
 	return notOpen(e.at + n.settleTime() - n.Clock.Now())
 }
 
-// passJoin asks a front in the place of one that holds no link to it.
-func (n *Node) passJoin(ctx context.Context, m *peerpb.Join) *peerpb.Message {
+// relayJoin forwards a join request to a front to which the asker has no link. If that front
+// is unreachable from here too, a host of its domain answers when its runs have ended.
+func (n *Node) relayJoin(ctx context.Context, m *peerpb.Join) *peerpb.Message {
 	front := openjobs.Front{Address: m.Front, Process: string(m.Process)}
-	passed := proto.Clone(m).(*peerpb.Join)
+	relayed := proto.Clone(m).(*peerpb.Join)
 	if link := n.links.Link(m.Front); link != nil && link.Up() {
-		outcome, answered := n.front.askBy(ctx, link, m.Front, passed)
+		outcome, answered := n.front.askVia(ctx, link, m.Front, relayed)
 		if answered {
 			return toOutcome(outcome)
 		}
@@ -173,12 +177,12 @@
 	}
 	now := n.Clock.Now()
 	for _, entry := range n.openNews.find(m.Id, now) {
-		if entry.Front.Address == m.Front && entry.Front.Process == front.Process && n.sightOf(entry.Front).SameDomain {
+		if entry.Front.Address == m.Front && entry.Front.Process == front.Process && n.vantageOf(entry.Front).SameDomain {
 			n.openNews.mu.Lock()
-			overAt := n.openNews.others.RunsEndBy(entry, now)
+			runsEndBy := n.openNews.others.RunsEndBy(entry, now)
 			n.openNews.mu.Unlock()
-			return toOutcome(job.Outcome{Kind: job.Moved, Reason: reasonFrontOut, RetryAfter: max(0, overAt-now)})
+			return toOutcome(job.Outcome{Kind: job.Moved, Reason: reasonFrontUnreachable, RetryAfter: max(0, runsEndBy-now)})
 		}
 	}
-	return peer.FailureMessage(errkind.New(errkind.PeerDown, "ask another host", "the front %s is out of sight, and nothing can be said of its job", m.Front))
+	return peer.FailureMessage(errkind.New(errkind.PeerDown, "ask another host", "the front %s is unreachable from here too, and the state of its job is unknown", m.Front))
 }
--- a/pkg/node/open.go
+++ b/pkg/node/open.go
@@ -8,24 +8,23 @@
 	"github.com/foxcroft/foxcroft/pkg/job"
 )
 
-// openJob is a job that callers of this node, or fronts to which a caller has sent it
-// again, wait for. It is followed once for all of them, and ends when the last of them
-// has left.
+// openJob is a job whose outcome callers of this node wait for, and fronts to which it was
+// resubmitted. It is followed once for all of them, and abandoned when the last one leaves.
 type openJob struct {
 	job    *job.Job
-	ctx    context.Context // ends when nobody waits any more
+	ctx    context.Context // ends when the last waiter leaves
 	cancel context.CancelCauseFunc
-	done   chan struct{} // closed at its end
+	done   chan struct{} // closed when the job ends
 
 	outcome job.Outcome // set before done is closed
 
-	// What follows is guarded by front.mu.
-	waiters   int
-	started   bool
-	isCarried bool   // by this node, rather than by a front that holds an earlier sending open
-	cell      string // where a part of it was last
-	epoch     int    // the highest with which it was handed to an owner
-	wide      bool   // it was cut into parts
+	// The fields below are guarded by front.mu.
+	waiters    int
+	started    bool
+	isFollowed bool   // by this node; not set while it searches for an earlier submission at other fronts
+	cell       string // the cell to which it, or a part of it, was last dispatched
+	epoch      int    // the highest with which it was dispatched
+	isSplit    bool   // into parts that are dispatched separately
 }
 
 var (
@@ -33,7 +32,8 @@
 	errDeadline = errors.New(reasonDeadline)
 )
 
-// reasonDeadline ends the wait for a job that another front holds open.
+// reasonDeadline is the reason of a job whose deadline passed while it waited for a job that
+// was open already, here or at another front.
 const reasonDeadline = "deadline_passed"
 
 func newOpenJob(j *job.Job) *openJob {
@@ -42,8 +42,9 @@
 	return open
 }
 
-// enter opens a job, or returns one of its id that is open. A former one that its
-// callers have given up ends first: its withdrawal would take this one's wish back too.
+// enter opens a job, or adds a waiter to the open job with the same id. An open job that its
+// callers have abandoned ends first, because its withdrawal would also withdraw the new one;
+// it is returned as former.
 func (f *front) enter(j *job.Job) (open, former *openJob) {
 	for {
 		f.mu.Lock()
@@ -65,23 +66,24 @@
 	}
 }
 
-// joinable returns a job that is open here, or nil, and whether it is followed here
-// rather than searched for. Then one more waits for it.
-func (f *front) joinable(id string) (open *openJob, isCarried bool) {
+// joinable returns the open job with this id, or nil if there is none or it is abandoned.
+// If this node follows it, isFollowed is set and a waiter is added; otherwise this node still
+// searches for an earlier submission.
+func (f *front) joinable(id string) (open *openJob, isFollowed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	open = f.open[id]
 	if open == nil || open.ctx.Err() != nil {
 		return nil, false
 	}
-	if open.isCarried {
+	if open.isFollowed {
 		open.waiters++
 	}
-	return open, open.isCarried
+	return open, open.isFollowed
 }
 
-// join returns a job that is open here, or nil. Then one more waits for it, also when its
-// callers have given it up: it is about to end.
+// join adds a waiter to the open job with this id and returns the job, or nil if there is
+// none. An abandoned job counts as open until it has ended.
 func (f *front) join(id string) *openJob {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,7 +94,7 @@
 	return open
 }
 
-// leave takes that one of those that wait has left.
+// leave removes a waiter, and abandons the job if that was the last one.
 func (f *front) leave(open *openJob) {
 	f.mu.Lock()
 	open.waiters--
@@ -103,8 +105,8 @@
 	}
 }
 
-// end tells all that wait how a job has ended. What others were told of is answered for
-// before it is off the list: a front that asks in between would take it for unknown.
+// end delivers a job's outcome to all waiters. An announced job's outcome is recorded before
+// the job leaves the list of open jobs, so that a front that asks in between finds one of them.
 func (f *front) end(open *openJob, outcome job.Outcome) {
 	open.outcome = outcome
 	f.node.openNews.closed(open, outcome, f.node.Clock.Now())
@@ -115,7 +117,8 @@
 	open.cancel(nil)
 }
 
-// await waits for the end of a job that is open here, for one that has joined it.
+// await waits for the outcome of an open job. It returns false, and removes the waiter, if
+// ctx ends first.
 func (f *front) await(ctx context.Context, open *openJob) (job.Outcome, bool) {
 	select {
 	case <-open.done:
@@ -126,7 +129,8 @@
 	}
 }
 
-// awaitHere is await for a caller of this node, who waits until its own deadline.
+// awaitHere is await for a caller of this node, who waits until the deadline of its own
+// submission.
 func (f *front) awaitHere(ctx context.Context, open *openJob, j *job.Job) job.Outcome {
 	f.node.Log.Info("job_joined", "job", j.ID, "front", f.node.settings.PeerAddress, "age_ms", (j.Received - open.job.Received).Milliseconds())
 	f.node.metrics.JobJoined("here")
@@ -138,31 +142,32 @@
 	return abandoned(ctx, true)
 }
 
-// untilDeadline ends a wait with a job's deadline, as its owner does elsewhere.
+// untilDeadline returns a context that ends at a job's deadline. While a job is followed
+// its owner enforces the deadline instead.
 func (f *front) untilDeadline(ctx context.Context, j *job.Job) (context.Context, context.CancelFunc) {
 	return context.WithTimeoutCause(ctx, j.Deadline-f.node.Clock.Now(), errDeadline)
 }
 
-// afterFormer returns how to begin a job of which an earlier sending was given up here
-// a moment ago. Its owner knows of the runs that are being stopped. Those of a wide job
-// are with several, so it waits until they are surely over.
-func (f *front) afterFormer(ctx context.Context, former *openJob) attempt {
+// attemptAfter returns the first attempt of a job whose earlier submission was just
+// abandoned here. It goes to the same cell, whose owner knows the runs that are being
+// stopped. The runs of a split job are with several owners, so it waits until all have ended.
+func (f *front) attemptAfter(ctx context.Context, former *openJob) attempt {
 	f.mu.Lock()
 	state := attempt{epoch: former.epoch + 1, started: former.started, lostCell: former.cell}
-	wide := former.wide
+	isSplit := former.isSplit
 	f.mu.Unlock()
 	if !state.started {
 		return attempt{epoch: 1}
 	}
 	state.settleAt = f.node.Clock.Now() + f.node.settleTime()
-	if wide {
+	if isSplit {
 		f.sleepUntil(ctx, state.settleAt)
 		state.lostCell = ""
 	}
 	return state
 }
 
-// markDispatched notes that a job is with an owner, who may start it any time.
+// markDispatched records that a job is dispatched to an owner, who may start it at any time.
 func (f *front) markDispatched(id, cellName string, epoch int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -173,17 +178,17 @@
 	}
 }
 
-// markCarried notes that a job is followed by this node from now on.
+// markCarried records that this node follows the job.
 func (f *front) markCarried(open *openJob) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	open.isCarried = true
+	open.isFollowed = true
 }
 
-func (f *front) markWide(open *openJob) {
+func (f *front) markSplit(open *openJob) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	open.wide = true
+	open.isSplit = true
 }
 
 // sleepUntil waits for a time of the node's clock and reports whether it came
--- a/pkg/node/openjobs.go
+++ b/pkg/node/openjobs.go
@@ -12,45 +12,47 @@
 	"github.com/foxcroft/foxcroft/pkg/peerpb"
 )
 
-// passers is how many hosts of each other domain are asked to pass news of open jobs
-// on to the rest of it: hosts hold links to a few of another domain only, and one
-// of the two may be lost meanwhile.
-const passers = 2
-
-// askedInDomain is how many hosts of each domain are asked for a front that is out of
-// sight: those of its own domain tell whether it is gone, and one of them may itself be
-// cut off from it.
-const askedInDomain = 3
-
-// openNews is what this host tells of its open jobs, and knows of others'.
+// relaysPerDomain is how many hosts of each other domain are asked to relay announcements of
+// open jobs within it, as a host has links to only a few hosts of another domain. It is more
+// than one, so that announcements still arrive if a relaying host fails.
+const relaysPerDomain = 2
+
+// askedPerDomain is how many hosts of each domain are asked about an unreachable front. Hosts
+// of the front's own domain report whether it is dead. It is more than one, because one of
+// them may itself be cut off from the front.
+const askedPerDomain = 3
+
+// openNews holds the open jobs that this host announces, and those that other fronts have
+// announced.
 type openNews struct {
 	mu     sync.Mutex
-	own    *openjobs.LocalJobs
+	local  *openjobs.LocalJobs
 	others *openjobs.Table
-	ended  map[string]endedHere // own jobs that are answered for, by id
+	ended  map[string]endedHere // jobs that ended here and may be asked about, by id
 
-	searches map[string]*openjobs.Search // for jobs that have come again here, by id
-	backAt   time.Duration               // when this host was last back, after it had been cut off from its domain or stood still
+	searches  map[string]*openjobs.Search // for resubmitted jobs, by id
+	resumedAt time.Duration               // when this host last resumed, after it was cut off from its domain or paused
 }
 
-// endedHere is how a job ended at this front, and when.
+// endedHere is the outcome of a job that ended at this front.
 type endedHere struct {
-	outcome job.Outcome
-	at      time.Duration
-	isTold  bool // others were told of it, so that they may ask
+	outcome     job.Outcome
+	at          time.Duration
+	isAnnounced bool // to other hosts, so that they may ask about it
 }
 
 // mayHaveRun reports whether tasks of the job may have started.
 func (e *endedHere) mayHaveRun() bool { return e.outcome.Started || e.outcome.Kind != job.Refused }
 
-// isGivenUp reports whether the job had begun and was given up, or took too long.
+// isGivenUp reports whether the job had started and ended without a final outcome: it was
+// abandoned or its deadline passed.
 func (e *endedHere) isGivenUp() bool {
 	return e.outcome.Started && e.outcome.Kind != job.Completed && e.outcome.Kind != job.Failed
 }
 
 func newOpenNews(resubmitAfter, settle time.Duration) *openNews {
 	return &openNews{
-		own:    openjobs.NewLocalJobs(resubmitAfter, settle),
+		local:  openjobs.NewLocalJobs(resubmitAfter, settle),
 		others: openjobs.NewTable(settle),
 		ended:  map[string]endedHere{},
 
@@ -58,30 +60,30 @@
 	}
 }
 
-// opened takes that this front holds a job open from now on.
+// opened records that this front holds a job open.
 func (o *openNews) opened(j *job.Job) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.own.Add(j.ID, j.Received, j.Deadline)
+	o.local.Add(j.ID, j.Received, j.Deadline)
 }
 
-// closed takes that a job has ended at this front. It answers for a while for those
-// that others were told of, and remembers those that were given up: it would else say of
-// one that comes again that nothing of it has run. What it didn't follow itself has left
-// no runs.
+// closed records that a job has ended at this front. The outcome is retained for keepOutcomes
+// if the job was announced, so that other fronts can ask about it, or if it was given up, so
+// that a resubmission isn't taken for a job of which nothing has run. Jobs that this front
+// didn't follow have left no runs and aren't retained.
 func (o *openNews) closed(open *openJob, outcome job.Outcome, now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.searches, open.job.ID)
-	isTold := o.own.Remove(open.job.ID) || o.ended[open.job.ID].isTold // now, or of a former sending
-	e := endedHere{outcome: outcome, at: now, isTold: isTold}
-	if open.isCarried && (e.isTold || e.isGivenUp()) {
+	isAnnounced := o.local.Remove(open.job.ID) || o.ended[open.job.ID].isAnnounced // this submission or an earlier one
+	e := endedHere{outcome: outcome, at: now, isAnnounced: isAnnounced}
+	if open.isFollowed && (e.isAnnounced || e.isGivenUp()) {
 		o.ended[open.job.ID] = e
 	}
 }
 
-// batch returns what is to be told now.
-func (o *openNews) batch(now time.Duration) []openjobs.Announcement {
+// nextBatch returns the announcements that are due, and drops outcomes whose retention is over.
+func (o *openNews) nextBatch(now time.Duration) []openjobs.Announcement {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for id, e := range o.ended {
@@ -89,26 +91,26 @@
 			delete(o.ended, id)
 		}
 	}
-	return o.own.NextBatch(now)
+	return o.local.NextBatch(now)
 }
 
-// find returns the other fronts that hold a job open, as far as is known.
+// find returns the other fronts that are known to hold a job open.
 func (o *openNews) find(id string, now time.Duration) []openjobs.Entry {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.others.Find(id, now)
 }
 
-// endedAt returns how a job has ended here, and when, if others were told of it.
-func (o *openNews) endedAt(id string) (endedHere, bool) {
+// announcedEnd returns the end of a job here, if the job was announced to other hosts.
+func (o *openNews) announcedEnd(id string) (endedHere, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	e, known := o.ended[id]
-	return e, known && e.isTold
+	return e, known && e.isAnnounced
 }
 
-// mayHaveRun reports whether an earlier sending of a job has ended here of which tasks may
-// have started.
+// mayHaveRun reports whether an earlier submission of a job has ended here and tasks of it
+// may have started.
 func (o *openNews) mayHaveRun(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -116,7 +118,8 @@
 	return known && e.mayHaveRun()
 }
 
-// newSearch begins the search for a job that has come again.
+// newSearch begins the search for the front that holds a resubmitted job open. No run that
+// this front followed is alive at settledAt.
 func (o *openNews) newSearch(open *openJob, settledAt time.Duration) *openjobs.Search {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -125,75 +128,78 @@
 	return s
 }
 
-// next is Search.Next for a host that has heard what others hold open.
+// next is Search.Next, but starts no job before this host has received the announcements of
+// the others after it resumed.
 func (o *openNews) next(s *openjobs.Search, now time.Duration) (at time.Duration, mayStart bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	at, mayStart = s.Next(o.others, now)
-	if heardAgain := o.backAt + openjobs.ResyncDelay; mayStart && now < heardAgain {
-		return heardAgain, false
+	if resyncedAt := o.resumedAt + openjobs.ResyncDelay; mayStart && now < resyncedAt {
+		return resyncedAt, false
 	}
 	return at, mayStart
 }
 
-// back takes that this host was cut off from its domain, or stood still, until now.
+// back records that this host was cut off from its domain, or paused, until now.
 func (o *openNews) back(now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.backAt = now
+	o.resumedAt = now
 	o.others.ResetLosses(now)
 }
 
-// heardAgainAt returns when this host has heard what others hold open.
-func (o *openNews) heardAgainAt() time.Duration {
+// resyncedAt returns when this host has received the announcements of the others after it
+// last resumed.
+func (o *openNews) resyncedAt() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.backAt + openjobs.ResyncDelay
+	return o.resumedAt + openjobs.ResyncDelay
 }
 
-// tellOpenJobs tells other hosts of the jobs that may come again by them.
+// tellOpenJobs announces this host's open jobs to other hosts, to which callers may resubmit
+// them.
 func (n *Node) tellOpenJobs(now time.Duration) {
-	batch := n.openNews.batch(now)
+	batch := n.openNews.nextBatch(now)
 	if len(batch) == 0 {
 		return
 	}
-	passing := map[string]int{} // hosts that pass it on, by domain
-	peers := n.peersInSight()
+	relays := map[string]int{} // number of hosts asked to relay, by domain
+	peers := n.reachablePeers()
 	for _, p := range peers {
-		passOn := p.Domain != n.settings.Domain && passing[p.Domain] < passers
-		if passOn {
-			passing[p.Domain]++
+		relay := p.Domain != n.settings.Domain && relays[p.Domain] < relaysPerDomain
+		if relay {
+			relays[p.Domain]++
 		}
-		n.sendOpenJobs(p.Address, n.asFront(), batch, passOn)
+		n.sendOpenJobs(p.Address, n.asFront(), batch, relay)
 	}
 	n.metrics.OpenJobsTold(len(batch) * len(peers))
-	n.Log.Info("open_jobs_told", "jobs", len(batch), "first", batch[0].ID, "hosts", len(peers), "passing", passing)
+	n.Log.Info("open_jobs_told", "jobs", len(batch), "first", batch[0].ID, "hosts", len(peers), "passing", relays)
 }
 
-// asFront names this process to others.
+// asFront identifies this process to other hosts.
 func (n *Node) asFront() openjobs.Front {
 	return openjobs.Front{Address: n.settings.PeerAddress, Domain: n.settings.Domain, Process: string(n.inc[:])}
 }
 
-func (n *Node) peersInSight() []member.Peer {
+func (n *Node) reachablePeers() []member.Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.members.View(n.inc).Peers
 }
 
-func (n *Node) sendOpenJobs(address string, front openjobs.Front, jobs []openjobs.Announcement, passOn bool) {
+func (n *Node) sendOpenJobs(address string, front openjobs.Front, jobs []openjobs.Announcement, relay bool) {
 	link := n.links.Link(address)
 	if link == nil || len(jobs) == 0 {
 		return
 	}
-	m := &peerpb.OpenJobs{Front: front.Address, Domain: front.Domain, Process: []byte(front.Process), PassOn: passOn}
-	for _, told := range jobs {
-		m.Jobs = append(m.Jobs, &peerpb.OpenJob{Id: told.ID, LeftUs: told.Remaining.Microseconds()})
+	m := &peerpb.OpenJobs{Front: front.Address, Domain: front.Domain, Process: []byte(front.Process), PassOn: relay}
+	for _, announced := range jobs {
+		m.Jobs = append(m.Jobs, &peerpb.OpenJob{Id: announced.ID, LeftUs: announced.Remaining.Microseconds()})
 	}
 	link.Send(&peerpb.Message{Body: &peerpb.Message_OpenJobs{OpenJobs: m}}, 0)
 }
 
-// onOpenJobs takes news of a front's open jobs, and passes it on within this domain
+// onOpenJobs records the open jobs that a front announces, and relays them within this domain
 // if asked to.
 func (n *Node) onOpenJobs(from *peerpb.Hello, m *peerpb.OpenJobs) {
 	front := openjobs.Front{Address: m.Front, Domain: m.Domain, Process: string(m.Process)}
@@ -201,69 +207,70 @@
 		return
 	}
 	jobs := make([]openjobs.Announcement, 0, len(m.Jobs))
-	for _, told := range m.Jobs {
-		jobs = append(jobs, openjobs.Announcement{ID: told.Id, Remaining: microseconds(told.LeftUs)})
+	for _, announced := range m.Jobs {
+		jobs = append(jobs, openjobs.Announcement{ID: announced.Id, Remaining: microseconds(announced.LeftUs)})
 	}
 	n.openNews.mu.Lock()
 	dropped := n.openNews.others.Record(front, from.Address, jobs, m.PassOn, n.Clock.Now())
 	n.openNews.mu.Unlock()
 	if dropped > 0 {
-		n.Log.Warn("open_jobs_dropped", "front", front.Address, "jobs", dropped, "remedy", "fewer jobs that last, or more hosts to spread them")
+		n.Log.Warn("open_jobs_dropped", "front", front.Address, "jobs", dropped, "remedy", "shorten long jobs, or add hosts to spread them over")
 	}
 	if m.PassOn {
-		n.passOpenJobs(from.Address, front, jobs)
+		n.relayOpenJobs(from.Address, front, jobs)
 	}
 }
 
-func (n *Node) passOpenJobs(from string, front openjobs.Front, jobs []openjobs.Announcement) {
-	for _, p := range n.peersInSight() {
+func (n *Node) relayOpenJobs(from string, front openjobs.Front, jobs []openjobs.Announcement) {
+	for _, p := range n.reachablePeers() {
 		if p.Domain == n.settings.Domain && p.Address != from && p.Address != front.Address {
 			n.sendOpenJobs(p.Address, front, jobs, false)
 		}
 	}
 }
 
-// LinkResumed implements peer.Resumer: what was on its way on the former connection
-// may be lost.
+// LinkResumed implements peer.Resumer. Announcements in transit on the previous connection may
+// be lost, so they are sent again.
 func (n *Node) LinkResumed(address string, hello *peerpb.Hello) { n.tellAgain(address, hello.Domain) }
 
-// tellAgain tells a host what it may not have heard, or may have forgotten: the own
-// open jobs, and those that this host passes on in its domain.
+// tellAgain sends a host the announcements that it may have missed or lost: this host's own,
+// and those that this host relays in its domain.
 func (n *Node) tellAgain(address, domain string) {
 	now := n.Clock.Now()
 	n.openNews.mu.Lock()
 	n.openNews.others.LinkUp(address)
-	own := n.openNews.own.Announced(now)
-	passed := n.openNews.others.ToRelay(now)
+	local := n.openNews.local.Announced(now)
+	relayed := n.openNews.others.ToRelay(now)
 	n.openNews.mu.Unlock()
-	n.sendOpenJobs(address, n.asFront(), own, domain != n.settings.Domain)
+	n.sendOpenJobs(address, n.asFront(), local, domain != n.settings.Domain)
 	if domain != n.settings.Domain {
 		return
 	}
-	for front, jobs := range passed {
+	for front, jobs := range relayed {
 		if front.Address != address {
 			n.sendOpenJobs(address, front, jobs, false)
 		}
 	}
 }
 
-// seesMate reports whether another host of the own domain than one is in sight. n.mu is
+// seesMate reports whether a host of this domain other than except is reachable. n.mu is
 // held.
-func (n *Node) seesMate(than string) bool {
-	isMate := func(p member.Peer) bool { return p.Address != than && p.Domain == n.settings.Domain }
-	return slices.ContainsFunc(n.members.View(n.inc).Peers, isMate)
+func (n *Node) seesMate(except string) bool {
+	isOther := func(p member.Peer) bool { return p.Address != except && p.Domain == n.settings.Domain }
+	return slices.ContainsFunc(n.members.View(n.inc).Peers, isOther)
 }
 
-// frontOutOfSight takes that the link to a host is lost.
+// frontOutOfSight records that the link to a host is down.
 func (n *Node) frontOutOfSight(address string) {
 	n.openNews.mu.Lock()
 	defer n.openNews.mu.Unlock()
 	n.openNews.others.LinkDown(address, n.Clock.Now())
 }
 
-// sightOf returns what is seen of a front's domain. Where the domain has no third host
-// any other one tells that this host isn't cut off.
-func (n *Node) sightOf(front openjobs.Front) openjobs.Vantage {
+// vantageOf reports whether this host, besides the front, reaches another host of the front's
+// domain, which shows that this host isn't cut off itself. If the domain has no third host,
+// a reachable host of any domain counts.
+func (n *Node) vantageOf(front openjobs.Front) openjobs.Vantage {
 	if front.Domain != n.settings.Domain {
 		return openjobs.Vantage{}
 	}
@@ -274,22 +281,23 @@
 		hasThird = hasThird || (isThird && row.Domain == n.settings.Domain)
 	}
 	n.mu.Unlock()
-	tells := func(p member.Peer) bool {
+	isEvidence := func(p member.Peer) bool {
 		return p.Address != front.Address && (!hasThird || p.Domain == n.settings.Domain)
 	}
-	return openjobs.Vantage{SameDomain: slices.ContainsFunc(n.peersInSight(), tells)}
+	return openjobs.Vantage{SameDomain: slices.ContainsFunc(n.reachablePeers(), isEvidence)}
 }
 
-// othersToAsk returns some hosts of each domain that may reach a front.
-func (n *Node) othersToAsk() []string {
+// hostsToAsk returns a few hosts of each domain, through which an unreachable front may be
+// asked.
+func (n *Node) hostsToAsk() []string {
 	count := map[string]int{}
-	var others []string
-	for _, p := range n.peersInSight() {
-		if count[p.Domain]++; count[p.Domain] <= askedInDomain {
-			others = append(others, p.Address)
+	var hosts []string
+	for _, p := range n.reachablePeers() {
+		if count[p.Domain]++; count[p.Domain] <= askedPerDomain {
+			hosts = append(hosts, p.Address)
 		}
 	}
-	return others
+	return hosts
 }
 
 var _ peer.Resumer = (*Node)(nil)
--- a/pkg/node/renewals.go
+++ b/pkg/node/renewals.go
@@ -8,129 +8,128 @@
 	"github.com/foxcroft/foxcroft/pkg/peerpb"
 )
 
-// A process that wakes may read what owners have sent before it reads that its
-// callers' connections have ended. So it vouches for its callers only up to what had
-// come before its last look, and only while it runs: two looks in a row without a gap.
+// A process that was paused may read messages of owners before it reads that its callers'
+// connections have closed. So it renews the leases of its callers' jobs only up to timestamps
+// that were received before its last poll, and only after two polls in a row without a pause.
 const (
-	// renewInterval is how often this host looks whether it can renew the leases of
-	// its callers' jobs, at most.
+	// renewInterval is the least time between two polls of the timestamps to renew with.
 	renewInterval = 25 * time.Millisecond
-	// longestLook is the time between two looks after which this process must have
-	// stood still: it looks each 100 ms when nothing else is to be done.
-	longestLook = 150 * time.Millisecond
-	// mostGaps is how many gaps in a row count as standing still. After more the host
-	// is slow: it has run at each look, and nothing would be served if it never vouched.
-	mostGaps = 2
-	// renewPause is the least time between two renewals to an owner, who goes through
-	// its jobs at each.
-	renewPause = 100 * time.Millisecond
+	// maxPollGap is the time between two polls beyond which this process counts as paused.
+	// An idle process polls every 100 ms.
+	maxPollGap = 150 * time.Millisecond
+	// maxConsecutiveGaps is how many gaps in a row count as a pause. After more of them the
+	// process counts as slow rather than paused, and renews, so that its jobs are served.
+	maxConsecutiveGaps = 2
+	// minRenewalInterval is the least time between two renewals sent to an owner, who goes
+	// through all its jobs at each.
+	minRenewalInterval = 100 * time.Millisecond
 )
 
-// renewals remembers up to which moments this host can vouch that its callers
-// still wait: of each owner, by the owner's own clock, which needs no comparison of
-// clocks. A moment counts from the second look after its arrival on, when
-// everything that had come before it has been handled.
+// renewals tracks, for each owner, the timestamp up to which this host confirms that its
+// callers still wait. It is a timestamp of the owner's clock, so clocks needn't be compared.
+// A timestamp is confirmed at the second poll after its arrival, when everything that arrived
+// before it has been handled.
 type renewals struct {
-	mu      sync.Mutex
-	moments map[string]*ownerMoments // by the owner's address
-	own     time.Duration            // the same for this host's own cells
-	looked  time.Duration            // the last look
-	gaps    int                      // in a row before it
+	mu             sync.Mutex
+	timestamps     map[string]*ownerTimestamps // by the owner's address
+	confirmedLocal time.Duration               // the same for this host's own cells, by its own clock
+	polledAt       time.Duration               // the last poll
+	gaps           int                         // consecutive gaps before it
 }
 
-// ownerMoments are those that an owner has told.
-type ownerMoments struct {
-	newest *peerpb.Moment // nil when none has come since the last look
-	aging  *peerpb.Moment // the newest one at the last look; nil when there was none
-	sure   *peerpb.Moment // the newest one that counts; nil as long as there is none
-	sentAt time.Duration  // the last renewal
-	unsent bool           // sure is newer than that
+// ownerTimestamps are the timestamps received from one owner.
+type ownerTimestamps struct {
+	newest    *peerpb.Moment // nil if none has arrived since the last poll
+	pending   *peerpb.Moment // newest as of the last poll; nil if there was none
+	confirmed *peerpb.Moment // the newest confirmed one; nil if there is none yet
+	sentAt    time.Duration  // when the last renewal was sent
+	unsent    bool           // confirmed was set after that
 }
 
-func newRenewals() *renewals { return &renewals{moments: map[string]*ownerMoments{}} }
+func newRenewals() *renewals { return &renewals{timestamps: map[string]*ownerTimestamps{}} }
 
-// told takes the moment at which an owner has answered a heartbeat.
-func (r *renewals) told(address string, moment *peerpb.Moment) {
+// record records the timestamp at which an owner has sent a reply.
+func (r *renewals) record(address string, timestamp *peerpb.Moment) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.moments[address] == nil {
-		r.moments[address] = &ownerMoments{}
+	if r.timestamps[address] == nil {
+		r.timestamps[address] = &ownerTimestamps{}
 	}
-	m := r.moments[address]
-	for _, known := range []*peerpb.Moment{m.newest, m.aging, m.sure} {
-		if known != nil && bytes.Equal(known.Incarnation, moment.Incarnation) && known.AtUs >= moment.AtUs {
-			return // it has been overtaken
+	m := r.timestamps[address]
+	for _, known := range []*peerpb.Moment{m.newest, m.pending, m.confirmed} {
+		if known != nil && bytes.Equal(known.Incarnation, timestamp.Incarnation) && known.AtUs >= timestamp.AtUs {
+			return // a later one arrived before it
 		}
 	}
-	m.newest = moment
+	m.newest = timestamp
 }
 
-// forget takes that an owner is lost.
+// forget removes the timestamps of an owner that is lost.
 func (r *renewals) forget(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.moments, address)
+	delete(r.timestamps, address)
 }
 
-// sure returns the newest moment of an owner up to which this host vouches, or nil.
+// sure returns the newest confirmed timestamp of an owner, or nil.
 func (r *renewals) sure(address string) *peerpb.Moment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if m := r.moments[address]; m != nil {
-		return m.sure
+	if m := r.timestamps[address]; m != nil {
+		return m.confirmed
 	}
 	return nil
 }
 
-// sureHere returns the same for the cells of this host.
+// sureHere returns the confirmed time for the cells of this host.
 func (r *renewals) sureHere() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.own
+	return r.confirmedLocal
 }
 
-// look ages the moments: what is newest at one look is aging at the next and counts
-// from the one after. It returns those to renew with now, by the owner's address;
-// nothing when the last look was a moment ago or too long ago.
-func (r *renewals) look(now time.Duration) map[string]*peerpb.Moment {
+// poll advances the timestamps: the newest becomes pending, and the pending one confirmed. It
+// returns the timestamps to renew with now, by the owner's address, or nil if the last poll
+// was less than renewInterval ago or this process was paused since then.
+func (r *renewals) poll(now time.Duration) map[string]*peerpb.Moment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now < r.looked+renewInterval {
+	if now < r.polledAt+renewInterval {
 		return nil
 	}
-	last := r.looked
-	r.looked = now
-	if r.stoodStill(now - last) {
+	last := r.polledAt
+	r.polledAt = now
+	if r.recordGap(now - last) {
 		return nil
 	}
-	r.own = last
-	news := map[string]*peerpb.Moment{}
-	for address, m := range r.moments {
-		if m.aging != nil {
-			m.sure, m.unsent = m.aging, true
+	r.confirmedLocal = last
+	due := map[string]*peerpb.Moment{}
+	for address, m := range r.timestamps {
+		if m.pending != nil {
+			m.confirmed, m.unsent = m.pending, true
 		}
-		m.aging, m.newest = m.newest, nil
-		if m.unsent && now >= m.sentAt+renewPause {
+		m.pending, m.newest = m.newest, nil
+		if m.unsent && now >= m.sentAt+minRenewalInterval {
 			m.sentAt, m.unsent = now, false
-			news[address] = m.sure
+			due[address] = m.confirmed
 		}
 	}
-	return news
+	return due
 }
 
-// sleptUntil reports whether this process must have stood still since the last look for so
-// long that others may have taken it for gone.
-func (r *renewals) sleptUntil(now time.Duration) bool {
+// wasPausedUntil reports whether this process was paused since the last poll for so long that
+// others may have taken it for dead.
+func (r *renewals) wasPausedUntil(now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now > r.looked+longestGap
+	return now > r.polledAt+longestGap
 }
 
-// stoodStill takes the time since the last look, and reports whether this process
-// must have stood still meanwhile.
-func (r *renewals) stoodStill(gap time.Duration) bool {
+// recordGap records the time since the last poll, and reports whether this process counts as
+// paused meanwhile.
+func (r *renewals) recordGap(gap time.Duration) bool {
 	switch {
-	case gap <= longestLook:
+	case gap <= maxPollGap:
 		r.gaps = 0
 		return false
 	case gap > longestGap:
@@ -138,49 +137,50 @@
 		return true
 	}
 	r.gaps++
-	return r.gaps <= mostGaps
+	return r.gaps <= maxConsecutiveGaps
 }
 
-// takeMoment takes the time of an owner that came with a reply.
+// takeMoment records the timestamp of an owner that came with a reply.
 func (n *Node) takeMoment(address string, reply *peerpb.Message) {
 	if reply.Moment != nil {
-		n.renewals.told(address, reply.Moment)
+		n.renewals.record(address, reply.Moment)
 	}
 }
 
-// renewJobs renews the leases of the jobs that callers of this host wait for.
+// renewJobs renews the leases of the jobs that callers of this host wait for, at its own
+// cells and at other owners.
 func (n *Node) renewJobs(now time.Duration) {
-	if n.renewals.sleptUntil(now) {
+	if n.renewals.wasPausedUntil(now) {
 		n.openNews.back(now)
 	}
-	news := n.renewals.look(now)
-	if news == nil {
+	due := n.renewals.poll(now)
+	if due == nil {
 		return
 	}
-	here := n.renewals.sureHere()
+	confirmed := n.renewals.sureHere()
 	for _, o := range n.allOwners() {
-		o.renew(nil, here)
+		o.renew(nil, confirmed)
 	}
-	for address, moment := range news {
+	for address, timestamp := range due {
 		if link := n.links.Link(address); link != nil && n.front.dispatchedTo(address) {
-			link.Send(&peerpb.Message{Body: &peerpb.Message_Renew{Renew: &peerpb.Renew{AsOf: moment}}}, 0)
+			link.Send(&peerpb.Message{Body: &peerpb.Message_Renew{Renew: &peerpb.Renew{AsOf: timestamp}}}, 0)
 		}
 	}
 }
 
-// moment returns what the time of this process is, for peers to return.
+// moment returns the current timestamp of this process, which peers return in renewals.
 func (n *Node) moment() *peerpb.Moment {
 	return &peerpb.Moment{Incarnation: n.inc[:], AtUs: n.Clock.Now().Microseconds()}
 }
 
-// withMoment adds the time of this process to a reply. Outcomes carry it too: on a
-// full link the replies to heartbeats come late.
+// withMoment adds the timestamp of this process to a reply. Outcomes carry it too, because
+// replies to heartbeats are late on a congested link.
 func (n *Node) withMoment(m *peerpb.Message) *peerpb.Message {
 	m.Moment = n.moment()
 	return m
 }
 
-// timeOf returns the time of a moment of this process, or 0 when it is of another.
+// timeOf returns the time of a timestamp of this process, or 0 if another process made it.
 func (n *Node) timeOf(m *peerpb.Moment) time.Duration {
 	if m == nil || !bytes.Equal(m.Incarnation, n.inc[:]) {
 		return 0
--- a/pkg/node/renewals_test.go
+++ b/pkg/node/renewals_test.go
@@ -11,40 +11,39 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A process that wakes reads what owners have sent before it reads that its
-// callers' connections have ended. It vouches for callers only up to what came
-// before the last look, and for nothing new across a gap between two looks.
-func TestAHostVouchesForWhatItHasHadTimeToNotice(t *testing.T) {
+// Guards against renewing leases for callers that left while this process was paused: a
+// timestamp is confirmed at the second poll after its arrival, and none across a pause.
+func TestTimestampsAreConfirmedAtTheSecondPoll(t *testing.T) {
 	c := qt.New(t)
 	r := newRenewals()
 	early, late := &peerpb.Moment{AtUs: 1}, &peerpb.Moment{AtUs: 2}
 	now := time.Second
-	look := func(after time.Duration) map[string]*peerpb.Moment {
+	poll := func(after time.Duration) map[string]*peerpb.Moment {
 		now += after
-		return r.look(now)
+		return r.poll(now)
 	}
-	r.look(now)
-	c.Assert(look(renewInterval), qt.HasLen, 0)
-	awake := now - renewInterval
-	c.Assert(r.sureHere(), qt.Equals, awake)
-	r.told("owner", early)
-	c.Assert(look(2*time.Second), qt.HasLen, 0, qt.Commentf("it stood still"))
-	r.told("owner", late)
-	c.Assert(look(renewInterval/2), qt.IsNil, qt.Commentf("too soon"))
-	c.Assert(look(longestLook+renewInterval), qt.HasLen, 0, qt.Commentf("it stood still again"))
-	c.Assert(r.sureHere(), qt.Equals, awake)
-	c.Assert(look(renewInterval), qt.HasLen, 0, qt.Commentf("one look without a gap"))
+	r.poll(now)
+	c.Assert(poll(renewInterval), qt.HasLen, 0)
+	confirmed := now - renewInterval
+	c.Assert(r.sureHere(), qt.Equals, confirmed)
+	r.record("owner", early)
+	c.Assert(poll(2*time.Second), qt.HasLen, 0, qt.Commentf("paused"))
+	r.record("owner", late)
+	c.Assert(poll(renewInterval/2), qt.IsNil, qt.Commentf("too soon"))
+	c.Assert(poll(maxPollGap+renewInterval), qt.HasLen, 0, qt.Commentf("paused again"))
+	c.Assert(r.sureHere(), qt.Equals, confirmed)
+	c.Assert(poll(renewInterval), qt.HasLen, 0, qt.Commentf("one poll without a gap"))
 	c.Assert(r.sureHere(), qt.Equals, now-renewInterval)
 	c.Assert(r.sure("owner"), qt.IsNil)
-	c.Assert(look(renewInterval)["owner"], qt.Equals, late)
+	c.Assert(poll(renewInterval)["owner"], qt.Equals, late)
 	c.Assert(r.sure("owner"), qt.Equals, late)
-	c.Assert(look(renewInterval), qt.HasLen, 0, qt.Commentf("nothing new"))
+	c.Assert(poll(renewInterval), qt.HasLen, 0, qt.Commentf("no newer timestamp"))
 	c.Assert(r.sure("owner"), qt.Equals, late)
 	r.forget("owner")
 	c.Assert(r.sure("owner"), qt.IsNil)
 }
 
-func TestMomentsOfOtherProcessesTellNothing(t *testing.T) {
+func TestTimestampsOfOtherProcessesAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
 	c.Assert(n.timeOf(n.moment()) > 0, qt.IsTrue)
@@ -55,9 +54,9 @@
 	c.Assert(n.timeOf(ahead) <= n.Clock.Now(), qt.IsTrue)
 }
 
-// What a front had under way on a connection that ended has failed there, so that
-// its withdrawal may have been lost: a newer connection renews none of it.
-func TestAConnectionRenewsTheJobsThatCameOnIt(t *testing.T) {
+// Guards against renewals of jobs that failed at their front when its connection closed, and
+// whose withdrawal may be lost: a newer connection renews none of them.
+func TestAConnectionRenewsOnlyJobsDispatchedOnIt(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
 	o := newOwner(n, "cell", 1, n.Clock.Now())
@@ -72,40 +71,41 @@
 	c.Assert(o.renewedBy(nil), qt.DeepEquals, []string{"c"})
 }
 
-// A process on a busy machine wakes for a moment, reads what owners have sent, and
-// stands still again before it reads that its callers' connections have ended.
-func TestAHostThatStandsStillAgainVouchesForNothingNew(t *testing.T) {
+// Guards against renewals by a process that runs briefly between two pauses: it reads an
+// owner's timestamp, but is paused again before it reads that its callers have left.
+func TestNothingIsConfirmedAfterTwoPauses(t *testing.T) {
 	c := qt.New(t)
 	r := newRenewals()
 	now := time.Second
-	r.look(now)
+	r.poll(now)
 	now += renewInterval
-	r.look(now)
+	r.poll(now)
 	before := now
-	now += time.Second // it stood still, and its callers left
-	r.told("owner", &peerpb.Moment{AtUs: now.Microseconds() - 1})
-	r.look(now)
-	now += 300 * time.Millisecond // and stood still again at once
-	c.Assert(r.look(now), qt.HasLen, 0, qt.Commentf("it has not run for renewInterval since it read the moment"))
+	now += time.Second // paused; its callers left meanwhile
+	r.record("owner", &peerpb.Moment{AtUs: now.Microseconds() - 1})
+	r.poll(now)
+	now += 300 * time.Millisecond // paused again at once
+	c.Assert(r.poll(now), qt.HasLen, 0, qt.Commentf("it has not run for renewInterval since it read the timestamp"))
 	c.Assert(r.sureHere() <= before, qt.IsTrue, qt.Commentf("own cells: %s", r.sureHere()))
 }
 
-func TestAHostThatIsSlowForLongVouchesNowAndThen(t *testing.T) {
+// Guards against a host whose every poll counts as a pause, so that it never renews a lease.
+func TestAVerySlowHostConfirmsEventually(t *testing.T) {
 	c := qt.New(t)
 	r := newRenewals()
 	now := time.Second
 	for range 10 {
-		now += 2 * longestLook
-		r.told("owner", &peerpb.Moment{AtUs: now.Microseconds()})
-		r.look(now)
+		now += 2 * maxPollGap
+		r.record("owner", &peerpb.Moment{AtUs: now.Microseconds()})
+		r.poll(now)
 	}
-	c.Assert(now-r.sureHere() < 10*longestLook, qt.IsTrue)
-	c.Assert(now-microseconds(r.sure("owner").AtUs) < 20*longestLook, qt.IsTrue)
+	c.Assert(now-r.sureHere() < 10*maxPollGap, qt.IsTrue)
+	c.Assert(now-microseconds(r.sure("owner").AtUs) < 20*maxPollGap, qt.IsTrue)
 }
 
-// A front that has lost an owner waits out the lease that the job had there, and the
-// time that executors take to end its runs.
-func TestAFrontWaitsOutTheLeaseAtALostOwner(t *testing.T) {
+// A front that has lost an owner waits until the job's lease there is over and executors have
+// ended its runs. That has to be sooner than callers resubmit.
+func TestSettleTimeCoversLeaseAndStopTime(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
 	params := n.cellParams()
@@ -113,8 +113,8 @@
 	c.Assert(params.JobLease+n.settings.StopTime < n.settings.ResubmitAfter, qt.IsTrue)
 }
 
-// What a Renew says, and the looks of this host for its own cells, reach the jobs: one
-// that isn't renewed is given back, and no other.
+// A Renew message and the local renewals reach the jobs: only the job that isn't renewed is
+// returned to its front.
 func TestRenewalsReachTheJobs(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
@@ -138,34 +138,35 @@
 	c.Assert(back["left"].Reason, qt.Equals, cell.ReasonNotRenewed)
 }
 
-// On a full link the reply to a heartbeat comes after the outcomes that were made after it.
-func TestAMomentThatWasOvertakenTakesNothingBack(t *testing.T) {
+// On a congested link the reply to a heartbeat arrives after outcomes that are newer than it.
+func TestOutdatedTimestampsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	r := newRenewals()
 	now := time.Second
-	look := func() { now += renewInterval; r.look(now) }
-	r.look(now)
+	poll := func() { now += renewInterval; r.poll(now) }
+	r.poll(now)
 	outcome, reply := &peerpb.Moment{AtUs: 900_000}, &peerpb.Moment{AtUs: 100_000}
-	r.told("owner", outcome)
-	r.told("owner", reply) // 0.8 s late
-	look()
-	look()
+	r.record("owner", outcome)
+	r.record("owner", reply) // 0.8 s late
+	poll()
+	poll()
 	c.Assert(r.sure("owner"), qt.Equals, outcome)
-	r.told("owner", reply)
-	look()
-	look()
+	r.record("owner", reply)
+	poll()
+	poll()
 	c.Assert(r.sure("owner"), qt.Equals, outcome)
 }
 
-// A host whose loop comes round every 160 ms runs; it stands still no more than one of 145 ms.
-func TestASlowHostVouchesForItsCallers(t *testing.T) {
+// A host that polls slightly less often than every maxPollGap is slow, not paused, and has to
+// renew its callers' leases regularly.
+func TestASlowHostConfirmsRegularly(t *testing.T) {
 	c := qt.New(t)
 	r := newRenewals()
 	now := time.Second
 	for range 20 {
-		now += longestLook + 10*time.Millisecond
-		r.told("owner", &peerpb.Moment{AtUs: now.Microseconds()})
-		r.look(now)
+		now += maxPollGap + 10*time.Millisecond
+		r.record("owner", &peerpb.Moment{AtUs: now.Microseconds()})
+		r.poll(now)
 	}
 	c.Assert(r.sureHere() > now-850*time.Millisecond, qt.IsTrue, qt.Commentf("own cells: %s at %s", r.sureHere(), now))
 	c.Assert(r.sure("owner"), qt.IsNotNil)
