--- a/pkg/node/front.go
+++ b/pkg/node/front.go
@@ -110,9 +110,9 @@
 	return f.followParts(ctx, j, shares, state)
 }
 
-// firstAttempt returns the state of the first attempt of a job, or, with ended set, the
-// outcome of an earlier submission of it.
-func (f *front) firstAttempt(open, former *openJob) (outcome job.Outcome, state attempt, ended bool) {
+// firstAttempt returns the outcome of an earlier submission of a job and true, or, if there
+// is none, the state of the job's first attempt and false.
+func (f *front) firstAttempt(open, former *openJob) (job.Outcome, attempt, bool) {
 	if former != nil && former.cell != "" {
 		return job.Outcome{}, f.attemptAfter(open.ctx, former), false
 	}
