--- a/pkg/ownership/choose.go
+++ b/pkg/ownership/choose.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// Margins of sending a job to another cell than the caller's own.
+// Handicaps of cells of other domains.
 const (
-	hopCost    = 10 * time.Millisecond // of another domain
-	staleShare = 0.5                   // of the own wait that must be gained
+	crossDomainDelay   = 10 * time.Millisecond // added to the wait there
+	maxRemoteWaitShare = 0.5                   // the wait there has to be below this share of the own wait
 )
 
-// Choose returns the claim to hand a job of a service to: one of the own domain
-// unless another cell would start it much sooner; of equals the one with the
-// most room.
+// Choose returns the claim on the cell to send a job to: one of the own domain, unless a
+// cell of another domain would start the job much sooner. Among equal waits it prefers the
+// cell with the most free capacity. It reports false when no cell is ready to serve the
+// job.
 func Choose(claims []Claim, ownDomain, service string, needsCPU int64) (Claim, bool) {
 	var best Claim
 	var bestWait time.Duration
@@ -21,7 +22,7 @@
 		}
 		wait := expectedWait(claim.Load, needsCPU)
 		if DomainOf(claim.Cell) != ownDomain {
-			wait = hopCost + time.Duration(float64(wait)/staleShare)
+			wait = crossDomainDelay + time.Duration(float64(wait)/maxRemoteWaitShare)
 		}
 		better := wait < bestWait || (wait == bestWait && claim.Load.FreeCPU > best.Load.FreeCPU)
 		if !found || better {
@@ -31,7 +32,7 @@
 	return best, found
 }
 
-// expectedWait estimates how long the first task of a job will wait.
+// expectedWait estimates how long the first task of a job waits in a cell.
 func expectedWait(load Load, needsCPU int64) time.Duration {
 	if load.QueuedWork == 0 && load.FreeCPU >= needsCPU {
 		return 0
@@ -39,15 +40,15 @@
 	if load.CapacityCPU == 0 {
 		return time.Hour
 	}
-	return time.Duration(load.QueuedWork/load.CapacityCPU)*time.Millisecond + crowdedWait
+	return time.Duration(load.QueuedWork/load.CapacityCPU)*time.Millisecond + minQueueWait
 }
 
-// roomyShare is the part of a domain's room that has to be free for its jobs to
-// be expected to stay there.
-const roomyShare = 0.15
+// minFreeShare is the share of a domain's capacity that has to be free for its jobs to be
+// expected to start there.
+const minFreeShare = 0.15
 
-// IsShortOfCapacity reports whether jobs of a domain may soon have to go to others: work
-// waits there, or little room is left.
+// IsShortOfCapacity reports whether jobs of a domain may soon have to be sent to other
+// domains: a cell has queued work or can't serve yet, or little capacity is free.
 func IsShortOfCapacity(claims []Claim, domain string) bool {
 	var free, capacity int64
 	for _, claim := range claims {
@@ -60,8 +61,8 @@
 		free += claim.Load.FreeCPU
 		capacity += claim.Load.CapacityCPU
 	}
-	return float64(free) <= roomyShare*float64(capacity)
+	return float64(free) <= minFreeShare*float64(capacity)
 }
 
-// crowdedWait is the least that a job waits where no room is left.
-const crowdedWait = 20 * time.Millisecond
+// minQueueWait is the shortest wait assumed in a cell without enough free capacity.
+const minQueueWait = 20 * time.Millisecond
--- a/pkg/ownership/choose_test.go
+++ b/pkg/ownership/choose_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestCrowded(t *testing.T) {
+func TestIsShortOfCapacity(t *testing.T) {
 	claim := func(cell string, free, queued int64, ready bool) Claim {
 		return Claim{Cell: cell, Load: Load{CapacityCPU: 1000, FreeCPU: free, QueuedWork: queued, Ready: ready}}
 	}
@@ -16,12 +16,12 @@
 		want     bool
 	}
 	scenarios := []scenario{
-		{testName: "no owner is known", want: true},
-		{testName: "room enough", claims: []Claim{claim("here", 500, 0, true)}},
-		{testName: "little room", claims: []Claim{claim("here", 100, 0, true)}, want: true},
-		{testName: "work waits", claims: []Claim{claim("here", 500, 1, true)}, want: true},
-		{testName: "a cell that can't serve yet", claims: []Claim{claim("here/2.0", 500, 0, true), claim("here/2.1", 500, 0, false)}, want: true},
-		{testName: "other domains don't count", claims: []Claim{claim("here", 500, 0, true), claim("there", 0, 9, true)}},
+		{testName: "no owner known", want: true},
+		{testName: "enough free capacity", claims: []Claim{claim("here", 500, 0, true)}},
+		{testName: "little free capacity", claims: []Claim{claim("here", 100, 0, true)}, want: true},
+		{testName: "queued work", claims: []Claim{claim("here", 500, 1, true)}, want: true},
+		{testName: "one of two cells not ready", claims: []Claim{claim("here/2.0", 500, 0, true), claim("here/2.1", 500, 0, false)}, want: true},
+		{testName: "other domains are ignored", claims: []Claim{claim("here", 500, 0, true), claim("there", 0, 9, true)}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/pkg/ownership/division_test.go
+++ b/pkg/ownership/division_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestADivisionIsAsEachOfItsCells(t *testing.T) {
+func TestDivisionMatchesCellOf(t *testing.T) {
 	for _, count := range []int{0, 1, 2, 25} {
 		t.Run(strconv.Itoa(count), func(t *testing.T) {
 			c := qt.New(t)
--- a/pkg/ownership/standing.go
+++ b/pkg/ownership/effective.go
@@ -1,18 +1,18 @@
 package ownership
 
-// standing is which claims stand, one for each cell that is claimed.
-type standing struct {
+// effectiveClaims holds the claim in effect for each cell that is claimed.
+type effectiveClaims struct {
 	owners map[string]Claim // by cell
-	counts map[string]int   // of the cells that a host owns, by its address
+	counts map[string]int   // number of cells owned, by the host's address
 }
 
-// standingClaims returns the claims that stand. They are worked out once for all
-// questions until a claim changes.
-func (t *Table) standingClaims() *standing {
-	if t.standing != nil {
-		return t.standing
+// claimsInEffect returns the claims that are in effect. They are cached until a claim
+// changes.
+func (t *Table) claimsInEffect() *effectiveClaims {
+	if t.effective != nil {
+		return t.effective
 	}
-	s := &standing{owners: map[string]Claim{}, counts: map[string]int{}}
+	s := &effectiveClaims{owners: map[string]Claim{}, counts: map[string]int{}}
 	for cell, byOwner := range t.claims {
 		claim, found := newestOf(byOwner)
 		if !found {
@@ -21,7 +21,7 @@
 		s.owners[cell] = claim
 		s.counts[claim.Owner]++
 	}
-	t.standing = s
+	t.effective = s
 	return s
 }
 
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -1,9 +1,8 @@
-// Package ownership decides which host owns a cell of executors. It does no
-// I/O, writes nothing to a store and holds no vote: a host claims a cell by
-// fencing its executors with a token above all that it has seen, and the
-// executors refuse the former owner from then on. A wrong judgement here costs
-// time; pkg/cell keeps it from running a task twice. The rules below keep such
-// judgements few.
+// Package ownership decides which host owns a cell of executors, and which cell a job is
+// sent to. It does no I/O, writes nothing to a store and takes no votes: a host claims a
+// cell by fencing its executors with a token above all that it has seen, and from then on
+// the executors refuse the former owner. A needless claim costs time, but pkg/cell ensures
+// that no task runs twice because of it. The rules below keep needless claims rare.
 package ownership
 
 import (
@@ -16,15 +15,15 @@
 	"github.com/foxcroft/foxcroft/pkg/member"
 )
 
-// Claim is a host's word that it owns a cell.
+// Claim is a host's announcement that it owns a cell.
 type Claim struct {
 	Cell  string
 	Token int64
-	Owner string // address of the host for its peers
+	Owner string // peer address of the host
 	Load  Load
 }
 
-// Load is what an owner tells of a cell.
+// Load is the state of a cell as reported by its owner.
 type Load struct {
 	CapacityCPU int64
 	FreeCPU     int64
@@ -38,102 +37,102 @@
 	return slices.Contains(l.Services, service)
 }
 
-// Host is what the decision needs to know of a host.
+// Host is the state of a host on which the choice of owners depends.
 type Host struct {
 	Address     string
 	Domain      string
 	Leaving     bool
-	Weight      int  // thousandths of a core that it may use; 0 when not told
-	HasReported bool // it has told which cells it owns
+	Weight      int  // thousandths of a core that it may use; 0 when unknown
+	HasReported bool // it has reported which cells it owns
 }
 
-// View is what a host sees when it decides.
+// View is the state of the hosts as seen by the host that decides.
 type View struct {
 	Self      Host
 	Up        []Host // other hosts whose links are up
-	Expected  int    // hosts that should be there, this one included
-	Restarted bool   // this host had a row before it started, so the others have theirs too
-	// Listed tells that this host has read the rows, so that it knows whom it
-	// should see.
+	Expected  int    // number of hosts that should be running, this one included
+	Restarted bool   // this host had a row in the store before it started, so the other hosts have theirs too
+	// Listed reports whether this host has read the store's rows, and so knows which hosts
+	// it should reach.
 	Listed bool
 }
 
-// Limits are the waits before claims.
+// Limits are the waits before a claim.
 type Limits struct {
-	Start    time.Duration // after the start of the process, to hear of owners
-	Most     time.Duration // after the start, when most hosts have told, and all that are seen
-	Rows     time.Duration // after the start, until which the store's rows may lack hosts that start too
-	Isolated time.Duration // without an owner, for a host that sees under half of the others
-	Outside  time.Duration // without any host of the domain, for hosts of other domains
-	Fenced   time.Duration // after a higher token from a host that isn't seen
-	Alone    time.Duration // after the start, for a host that knows no other of its domain and can't tell whether there are any
-	Retry    time.Duration // after one that none of the hosts can have made now: all are seen, and none claims the cell
+	AfterStart       time.Duration // after the start of the process, to receive the claims of other hosts
+	MajorityReported time.Duration // after the start, if most expected hosts are reachable and all reachable ones have reported
+	AllReported      time.Duration // after the start, if all expected hosts have reported: rows of hosts that are starting may be missing
+	Isolated         time.Duration // without an owner, for a host that reaches less than half of the expected hosts
+	OtherDomain      time.Duration // without a reachable host of the domain, for hosts of other domains
+	Fenced           time.Duration // after an executor refused a claim because of another host's higher token
+	PeersUnknown     time.Duration // after the start, for a host that has not read the rows and reaches no host of its domain
+	Retry            time.Duration // after a refusal because of a token that no running host holds
 }
 
-// DefaultLimits returns the waits used in production.
+// DefaultLimits returns the limits used in production.
 func DefaultLimits() Limits {
 	return Limits{
-		Start:    700 * time.Millisecond,
-		Most:     400 * time.Millisecond,
-		Rows:     350 * time.Millisecond,
-		Isolated: 2 * time.Second,
-		Outside:  3 * time.Second,
-		Fenced:   2 * time.Second,
-		Alone:    4 * time.Second,
-		Retry:    50 * time.Millisecond,
+		AfterStart:       700 * time.Millisecond,
+		MajorityReported: 400 * time.Millisecond,
+		AllReported:      350 * time.Millisecond,
+		Isolated:         2 * time.Second,
+		OtherDomain:      3 * time.Second,
+		Fenced:           2 * time.Second,
+		PeersUnknown:     4 * time.Second,
+		Retry:            50 * time.Millisecond,
 	}
 }
 
-// Table holds the claims that a host knows of. It isn't safe for concurrent
-// use.
+// Table holds the claims that a host knows of. It is not safe for concurrent use.
 type Table struct {
-	limits   Limits
-	started  time.Duration
-	claims   map[string]map[string]Claim // by cell and owner's address
-	heard    map[string]bool             // by host's address
-	highest  int64                       // token seen anywhere
-	standing *standing                   // worked out from claims; nil when these have changed
-	cells    map[string]*cellState
+	limits       Limits
+	started      time.Duration
+	claims       map[string]map[string]Claim // by cell and owner's address
+	reported     map[string]bool             // by the host's address
+	highestToken int64                       // among all tokens seen or made
+	effective    *effectiveClaims            // computed from claims; nil after these have changed
+	cells        map[string]*cellState
 }
 
 type cellState struct {
-	ownerless   time.Duration // since when no owner has been seen; 0 while there is one
-	domainEmpty time.Duration // since when no host of the domain has been seen
-	noClaim     time.Duration // no claim before
-	fenced      int           // times in a row that we were fenced before a claim held
+	ownerlessSince    time.Duration // when the owner was first missed; 0 while there is one
+	domainEmptySince  time.Duration // when hosts of the domain were first missed; 0 while one is reachable
+	noClaimBefore     time.Duration // earliest time of the next claim
+	consecutiveFences int           // refusals since the last accepted claim
 }
 
-// NewTable makes a table for a process that started at now.
+// NewTable returns a table for a process that started at now.
 func NewTable(limits Limits, now time.Duration) *Table {
-	return &Table{limits: limits, started: now, claims: map[string]map[string]Claim{}, heard: map[string]bool{}, cells: map[string]*cellState{}}
+	return &Table{limits: limits, started: now, claims: map[string]map[string]Claim{}, reported: map[string]bool{}, cells: map[string]*cellState{}}
 }
 
-// HasReported reports whether a host that is seen has told its claims.
-func (t *Table) HasReported(owner string) bool { return t.heard[owner] }
+// HasReported reports whether a reachable host has reported its claims.
+func (t *Table) HasReported(owner string) bool { return t.reported[owner] }
 
-// SetClaims takes all claims of a host, and reports whether it claims other
-// cells than before or has become able or unable to serve one.
+// SetClaims replaces the claims of a host. It reports whether the host claims other cells
+// or with other tokens than before, or has become ready or unready to serve one.
 func (t *Table) SetClaims(owner string, claims []Claim) bool {
-	t.heard[owner] = true
+	t.reported[owner] = true
 	if len(claims) == 0 && !t.Owns(owner) {
-		return false // as of most hosts, with each heartbeat
+		return false // the usual case: most hosts own no cell
 	}
-	changed := t.differs(owner, claims)
+	changed := t.claimsDiffer(owner, claims)
 	t.Forget(owner)
-	t.heard[owner] = true
+	t.reported[owner] = true
 	for _, claim := range claims {
 		claim.Owner = owner
 		if t.claims[claim.Cell] == nil {
 			t.claims[claim.Cell] = map[string]Claim{}
 		}
 		t.claims[claim.Cell][owner] = claim
-		t.highest = max(t.highest, claim.Token)
+		t.highestToken = max(t.highestToken, claim.Token)
 	}
 	return changed
 }
 
-// differs reports whether a host's claims are news, but for their loads.
-func (t *Table) differs(owner string, claims []Claim) bool {
+// claimsDiffer reports whether a host's claims differ from the known ones in more than the
+// load.
+func (t *Table) claimsDiffer(owner string, claims []Claim) bool {
 	known := 0
 	for _, byOwner := range t.claims {
 		if _, ok := byOwner[owner]; ok {
@@ -152,10 +151,10 @@
 	return false
 }
 
-// Forget forgets the claims of a host that isn't seen any more.
+// Forget removes the claims of a host that is unreachable.
 func (t *Table) Forget(owner string) {
-	delete(t.heard, owner)
-	t.standing = nil
+	delete(t.reported, owner)
+	t.effective = nil
 	for _, byOwner := range t.claims {
 		delete(byOwner, owner)
 	}
@@ -163,7 +162,7 @@
 
 // Owner returns the claim with the highest token on a cell.
 func (t *Table) Owner(cell string) (Claim, bool) {
-	claim, owned := t.standingClaims().owners[cell]
+	claim, owned := t.claimsInEffect().owners[cell]
 	return claim, owned
 }
 
@@ -197,9 +196,10 @@
 	return true
 }
 
-// FollowedCells picks the cells whose owners a host keeps links to: all of its
-// own domain, and perDomain of each other, spread over the hosts by rendezvous
-// hashing. Links to all owners would grow with the square of the hosts.
+// FollowedCells returns the cells to whose owners a host keeps links: all cells of its own
+// domain, and perDomain of each other domain, spread over the hosts by rendezvous hashing.
+// With links to all owners the number of links would grow with the square of the number of
+// hosts.
 func FollowedCells(cells []string, self, domain string, perDomain int) map[string]bool {
 	followed := map[string]bool{}
 	others := map[string][]string{}
@@ -221,7 +221,7 @@
 	return followed
 }
 
-// Owned returns the standing claims, one for each cell, sorted by cell.
+// Owned returns the effective claims, one for each cell, sorted by cell.
 func (t *Table) Owned() []Claim {
 	var claims []Claim
 	for cell := range t.claims {
@@ -246,96 +246,96 @@
 func (t *Table) ShouldClaim(cell, domain string, view View, now time.Duration) bool {
 	state := t.state(cell)
 	domainHosts := hostsOf(view, domain)
-	inside := view.Self.Domain == domain
+	inDomain := view.Self.Domain == domain
 	owner, owned := t.Owner(cell)
-	if owned && !t.yields(owner, cell, domain, view, inside) {
-		state.ownerless = 0
+	if owned && !t.shouldReplace(owner, cell, domain, view, inDomain) {
+		state.ownerlessSince = 0
 		return false
 	}
-	if state.ownerless == 0 {
-		state.ownerless = now
+	if state.ownerlessSince == 0 {
+		state.ownerlessSince = now
 	}
-	if len(domainHosts) > 0 && !inside {
-		state.domainEmpty = 0
+	if len(domainHosts) > 0 && !inDomain {
+		state.domainEmptySince = 0
 		return false
 	}
-	if !inside && state.domainEmpty == 0 {
-		state.domainEmpty = now
+	if !inDomain && state.domainEmptySince == 0 {
+		state.domainEmptySince = now
 	}
-	if view.Self.Leaving || t.tooEarly(view, now) || now < state.noClaim {
+	if view.Self.Leaving || t.tooEarly(view, now) || now < state.noClaimBefore {
 		return false
 	}
 	isolated := 2*(len(view.Up)+1) < view.Expected
-	if inside {
-		return t.first(cell, view.Self, domainHosts) && (!isolated || now >= state.ownerless+t.limits.Isolated)
+	if inDomain {
+		return t.ranksFirst(cell, view.Self, domainHosts) && (!isolated || now >= state.ownerlessSince+t.limits.Isolated)
 	}
-	return !isolated && now >= state.domainEmpty+t.limits.Outside && t.first(cell, view.Self, view.Up)
+	return !isolated && now >= state.domainEmptySince+t.limits.OtherDomain && t.ranksFirst(cell, view.Self, view.Up)
 }
 
-// tooEarly reports whether this host may have started too short a time ago to
-// have heard of owners. Rows of hosts that are gone for good may stand yet, so
-// that not all can be heard.
+// tooEarly reports whether this host may have started too recently to know the current
+// owners. The store may still have rows of hosts that were removed for good, so it does not
+// always wait for reports of all hosts.
 func (t *Table) tooEarly(view View, now time.Duration) bool {
 	age := now - t.started
 	switch {
-	case age >= t.limits.Start:
-		return knowsNobody(view) && age < t.limits.Alone
-	case allHeard(view):
-		return !view.Restarted && age < t.limits.Rows
+	case age >= t.limits.AfterStart:
+		return domainPeersUnknown(view) && age < t.limits.PeersUnknown
+	case allReported(view):
+		return !view.Restarted && age < t.limits.AllReported
 	}
-	return !view.Restarted || age < t.limits.Most || !mostHeard(view)
+	return !view.Restarted || age < t.limits.MajorityReported || !mostReported(view)
 }
 
-// knowsNobody reports whether a host can't tell if its domain has other hosts: it
-// hasn't read the rows, and sees none.
-func knowsNobody(view View) bool {
+// domainPeersUnknown reports whether a host can't tell if its domain has other hosts: it
+// has not read the rows, and reaches no other host of the domain.
+func domainPeersUnknown(view View) bool {
 	return !view.Listed && len(hostsOf(view, view.Self.Domain)) == 0
 }
 
-// weakShare is the part of this host's processor time for a cell at or below
-// which an owner of the domain should give its cell to this host.
-const weakShare = 0.5
+// weakOwnerRatio bounds the processor time of an owner relative to this host's: at or below
+// it this host replaces the owner.
+const weakOwnerRatio = 0.5
 
-// shareOf returns the processor time that a host has for a cell, when it shares
-// its time among all that it owns.
-func (t *Table) shareOf(cell string, host Host) float64 {
-	return float64(host.Weight) / float64(1+t.ownedBeside(cell, host.Address))
+// weightFor returns the processor time that a host has for a cell when it divides its time
+// equally among the cells that it owns.
+func (t *Table) weightFor(cell string, host Host) float64 {
+	return float64(host.Weight) / float64(1+t.otherCellsOwned(cell, host.Address))
 }
 
-// yields reports whether the owner of a cell should be replaced: it leaves, or
-// it is of another domain, or far weaker, while this host is of the cell's own.
-// Cells are made for a host each, so one that owns two is weaker than its like
-// that owns none.
-func (t *Table) yields(owner Claim, cell, domain string, view View, inside bool) bool {
+// shouldReplace reports whether this host should replace the owner of a cell: the owner is
+// unreachable or leaving, or this host is of the cell's domain while the owner is of
+// another domain or far weaker. Cells are sized for one host each, so an owner of two cells
+// counts as weaker than an equally strong host that owns none.
+func (t *Table) shouldReplace(owner Claim, cell, domain string, view View, inDomain bool) bool {
 	if owner.Owner == view.Self.Address {
 		return false
 	}
 	for _, host := range view.Up {
 		if host.Address == owner.Owner {
-			weak := t.shareOf(cell, host) <= weakShare*t.shareOf(cell, view.Self) && t.first(cell, view.Self, hostsOf(view, domain))
-			return host.Leaving || (inside && (host.Domain != domain || weak))
+			weak := t.weightFor(cell, host) <= weakOwnerRatio*t.weightFor(cell, view.Self) && t.ranksFirst(cell, view.Self, hostsOf(view, domain))
+			return host.Leaving || (inDomain && (host.Domain != domain || weak))
 		}
 	}
-	return true // not seen any more
+	return true // unreachable
 }
 
-// allHeard reports whether every host that should be there has told which
-// cells it owns.
-func allHeard(view View) bool {
-	return seenHeard(view) && view.Expected > 1 && len(view.Up)+1 >= view.Expected
+// allReported reports whether every expected host has reported which cells it owns.
+func allReported(view View) bool {
+	return reachableReported(view) && view.Expected > 1 && len(view.Up)+1 >= view.Expected
 }
 
-// mostHeard reports whether more than half of the hosts that should be there
-// are seen, and all that are seen have told which cells they own.
-func mostHeard(view View) bool {
-	return seenHeard(view) && len(view.Up) > 0 && 2*(len(view.Up)+1) > view.Expected
+// mostReported reports whether more than half of the expected hosts are reachable, and all
+// reachable hosts have reported which cells they own.
+func mostReported(view View) bool {
+	return reachableReported(view) && len(view.Up) > 0 && 2*(len(view.Up)+1) > view.Expected
 }
 
-// seenHeard reports whether all hosts that are seen have told their cells.
-func seenHeard(view View) bool {
+// reachableReported reports whether all reachable hosts have reported which cells they own.
+func reachableReported(view View) bool {
 	return !slices.ContainsFunc(view.Up, func(host Host) bool { return !host.HasReported })
 }
 
+// hostsOf returns the reachable hosts of a domain that are not leaving.
 func hostsOf(view View, domain string) []Host {
 	var hosts []Host
 	for _, host := range view.Up {
@@ -346,38 +346,37 @@
 	return hosts
 }
 
-// first reports whether a host comes first among others for a cell, by
-// rendezvous hashing. An owner does far more than the other hosts, so those
-// with little processor time come last, and a host that owns other cells counts
-// with a part of its time for each.
-func (t *Table) first(cell string, self Host, others []Host) bool {
-	own := weightedScore(cell, self, t.ownedBeside(cell, self.Address))
+// ranksFirst reports whether a host ranks before all others for a cell by rendezvous
+// hashing. An owner has far more work than other hosts, so weak hosts rank last, and the
+// weight of a host that owns other cells is divided among them.
+func (t *Table) ranksFirst(cell string, self Host, others []Host) bool {
+	own := weightedScore(cell, self, t.otherCellsOwned(cell, self.Address))
 	for _, other := range others {
-		if !other.Leaving && weightedScore(cell, other, t.ownedBeside(cell, other.Address)) > own {
+		if !other.Leaving && weightedScore(cell, other, t.otherCellsOwned(cell, other.Address)) > own {
 			return false
 		}
 	}
 	return true
 }
 
-// ownedBeside returns how many other cells a host owns beside one.
-func (t *Table) ownedBeside(cell, owner string) int {
-	count := t.standingClaims().counts[owner]
+// otherCellsOwned returns the number of cells that a host owns besides the given one.
+func (t *Table) otherCellsOwned(cell, owner string) int {
+	count := t.claimsInEffect().counts[owner]
 	if claim, owned := t.Owner(cell); owned && claim.Owner == owner {
 		count--
 	}
 	return count
 }
 
-// weightPower makes a host's processor time count far more than its share: of
-// 14 hosts of 0.192 cores beside 2 of 0.8, one owns a cell in a thousand.
-const weightPower = 6
+// weightExponent makes the choice of an owner depend far more than proportionally on a
+// host's processor time, so that weak hosts hardly ever own a cell.
+const weightExponent = 6
 
-// weightedScore is the rendezvous weight of a pair in which a host that owns
-// some cells already is chosen with a chance in proportion to a power of the
-// weight that it has for one more.
+// weightedScore returns the rendezvous score of a key and a host. The chance of a host to
+// get the highest score is proportional to a power of the weight that it has left for one
+// cell more than the given number of owned ones.
 func weightedScore(cell string, host Host, owned int) float64 {
 	unit := (float64(member.Score(cell, host.Address)>>11) + 0.5) / (1 << 53)
-	weight := math.Pow(float64(max(host.Weight, 1))/float64(1+owned), weightPower)
+	weight := math.Pow(float64(max(host.Weight, 1))/float64(1+owned), weightExponent)
 	return -weight / math.Log(unit)
 }
--- a/pkg/ownership/pick.go
+++ b/pkg/ownership/pick.go
@@ -1,7 +1,7 @@
 package ownership
 
-// PickByHash returns the host that comes first for a key by rendezvous hashing, weighted
-// as for cells. It reports false when all leave.
+// PickByHash returns the host that ranks first for a key by rendezvous hashing, weighted as
+// for cells. It reports false when all hosts are leaving.
 func PickByHash(key string, hosts []Host) (Host, bool) {
 	var best Host
 	bestScore := 0.0
--- a/pkg/ownership/pick_test.go
+++ b/pkg/ownership/pick_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestPickPrefersStrongHostsThatStay(t *testing.T) {
+func TestPickByHashPrefersStrongHosts(t *testing.T) {
 	c := qt.New(t)
 	hosts := []Host{
 		{Address: "10.0.0.1:1", Weight: 800},
--- a/pkg/ownership/split.go
+++ b/pkg/ownership/split.go
@@ -1,31 +1,29 @@
 package ownership
 
-// Share is the number of a job's tasks that go to a cell.
+// Share is the number of a job's tasks that are sent to a cell.
 type Share struct {
 	Cell  string
 	Tasks int
 }
 
-// wideShare is the part of a cell's room above which a job is wide: so much is
-// seldom free at once in a cell that is well used. Measured on three seeds of five
-// days: 0.5 is worse by 0.023 of a day's worth than 0.25, which is worse by 0.009
-// than 0.12; 0.06 is no better.
-const wideShare = 0.12
+// wideJobShare is the share of a cell's capacity above which a job counts as wide. That
+// much is rarely free at once in a well-used cell.
+const wideJobShare = 0.12
 
-// roomyTimes is how many times a job's need has to be free in its cell for it to
-// stay whole however wide it is.
-const roomyTimes = 2
+// minFreeMultiple is how many times a wide job's need has to be free in its cell for the
+// job not to be split.
+const minFreeMultiple = 2
 
-// Split says how many of a job's tasks, which need so much each, go to which
-// cell, when they are too many to start in the chosen cell at once. The cells
-// get them in proportion to their room; what rounding leaves goes to the chosen
-// one. It returns nil for a job that should stay whole.
+// Split divides the tasks of a job among cells when there are too many of them to start in
+// the chosen cell at once. Each task needs needsCPU. The cells get tasks in proportion to
+// their capacity, and the chosen cell gets the remainder. It returns nil for a job that
+// should not be split.
 func Split(claims []Claim, chosen Claim, service string, tasks int, needsCPU int64) []Share {
 	needs := int64(tasks) * needsCPU
-	if float64(needs) <= wideShare*float64(chosen.Load.CapacityCPU) {
+	if float64(needs) <= wideJobShare*float64(chosen.Load.CapacityCPU) {
 		return nil
 	}
-	if chosen.Load.QueuedWork == 0 && roomyTimes*needs <= chosen.Load.FreeCPU {
+	if chosen.Load.QueuedWork == 0 && minFreeMultiple*needs <= chosen.Load.FreeCPU {
 		return nil
 	}
 	var others []Claim
--- a/pkg/ownership/split_test.go
+++ b/pkg/ownership/split_test.go
@@ -18,21 +18,21 @@
 	type scenario struct {
 		testName string
 		claims   []Claim
-		free     int64 // of the chosen cell
-		queued   int64 // likewise
+		free     int64 // in the chosen cell
+		queued   int64 // in the chosen cell
 		tasks    int
 		want     []Share
 	}
 	scenarios := []scenario{
-		{testName: "a narrow job stays whole", claims: []Claim{a, b}, tasks: 1},
-		{testName: "a wide one is shared", claims: []Claim{a, b}, tasks: 8, want: []Share{{"a", 4}, {"b", 4}}},
-		{testName: "a wide one that fits twice into what is free", claims: []Claim{a, b}, free: 1000, tasks: 5},
-		{testName: "a wide one that fits once", claims: []Claim{a, b}, free: 900, tasks: 5, want: []Share{{"a", 3}, {"b", 2}}},
-		{testName: "work waits for what is free", claims: []Claim{a, b}, free: 1000, queued: 1, tasks: 4, want: []Share{{"a", 2}, {"b", 2}}},
-		{testName: "by room; the chosen cell gets the rest", claims: []Claim{a, cell("b", 500), cell("c", 2000)}, tasks: 8, want: []Share{{"a", 3}, {"b", 1}, {"c", 4}}},
-		{testName: "cells too small for a task get none", claims: []Claim{a, cell("b", 10)}, tasks: 8},
-		{testName: "one cell: nothing to share", claims: []Claim{a}, tasks: 8},
-		{testName: "others aren't ready or serve something else", claims: []Claim{a, notReady, other}, tasks: 8},
+		{testName: "a narrow job is not split", claims: []Claim{a, b}, tasks: 1},
+		{testName: "a wide job is split", claims: []Claim{a, b}, tasks: 8, want: []Share{{"a", 4}, {"b", 4}}},
+		{testName: "a wide job with twice its need free is not split", claims: []Claim{a, b}, free: 1000, tasks: 5},
+		{testName: "a wide job with less than twice its need free is split", claims: []Claim{a, b}, free: 900, tasks: 5, want: []Share{{"a", 3}, {"b", 2}}},
+		{testName: "free capacity does not count while work is queued", claims: []Claim{a, b}, free: 1000, queued: 1, tasks: 4, want: []Share{{"a", 2}, {"b", 2}}},
+		{testName: "in proportion to capacity; the chosen cell gets the remainder", claims: []Claim{a, cell("b", 500), cell("c", 2000)}, tasks: 8, want: []Share{{"a", 3}, {"b", 1}, {"c", 4}}},
+		{testName: "no split with a cell too small for a task", claims: []Claim{a, cell("b", 10)}, tasks: 8},
+		{testName: "no split with one cell", claims: []Claim{a}, tasks: 8},
+		{testName: "no split with cells that are not ready or serve another service", claims: []Claim{a, notReady, other}, tasks: 8},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestACellWithoutRoomSplitsNothing(t *testing.T) {
+func TestSplitWithoutCapacity(t *testing.T) {
 	chosen := Claim{Cell: "a"}
 	qt.Assert(t, Split([]Claim{chosen}, chosen, "s", 8, 100), qt.IsNil)
 }
--- a/pkg/ownership/tokens.go
+++ b/pkg/ownership/tokens.go
@@ -2,71 +2,71 @@
 
 import "time"
 
-// A token is a time of day in ticks, and below it bits of its maker's own, so
-// that no two hosts make the same one. Tokens made after a restart of
-// everything thus lie above those from before it, without a word from anybody.
-// All 53 bits are exact in a JSON number of any reader.
+// A token is a time of day in ticks, followed by low bits of the host that makes it, so
+// that no two hosts make the same token. Tokens made after a restart of the whole system
+// therefore exceed those from before without any coordination. All 53 bits are exact in a
+// JSON number.
 const (
-	ownBits        = 18
+	hostBits       = 18
 	ticksPerSecond = 16
 )
 
-// longestJump bounds, in doublings of a tick, how far a token jumps ahead after
-// a fence: 4 s, more than clocks differ.
-const longestJump = 6
+// maxJumpShift bounds how far a token jumps ahead after a refusal, as a power of two in
+// ticks: 4 s, more than the clocks of hosts differ.
+const maxJumpShift = 6
 
-// quickRetries is how many times in a row a host tries again soon after a
-// fence, when no living host can have caused it.
-const quickRetries = 8
+// maxQuickRetries is how many times in a row a host retries quickly after refusals that no
+// running host can have caused.
+const maxQuickRetries = 8
 
-// restartTime is how long after its own start a host takes a fence for the work
-// of one that has died with it. Later it may be one that has just started and
-// isn't known yet.
-const restartTime = 5 * time.Second
+// restartWindow is how long after its own start a host may attribute a refusal to the token
+// of a host that has died. Later, the token may be of a host that has just started and is
+// not known yet.
+const restartWindow = 5 * time.Second
 
-// longestFencedRun bounds the waits after fences in a row.
-const longestFencedRun = 4
+// maxFenceBackoff bounds the wait after consecutive refusals, as a multiple of
+// Limits.Fenced.
+const maxFenceBackoff = 4
 
-// ticks returns a time of day in ticks.
 func ticks(now time.Time) int64 {
 	return now.UnixMilli() * ticksPerSecond / time.Second.Milliseconds()
 }
 
-// NextToken returns a token above all that are known, and above those made
-// before a restart of everything. now is the time of day.
-func (t *Table) NextToken(now time.Time, own uint32) int64 {
-	counter := max(t.highest>>ownBits+1, ticks(now))
-	token := counter<<ownBits | int64(own&(1<<ownBits-1))
-	t.highest = token
+// NextToken returns a token above all known ones, and above those made before a restart of
+// the whole system. now is the time of day.
+func (t *Table) NextToken(now time.Time, hostID uint32) int64 {
+	counter := max(t.highestToken>>hostBits+1, ticks(now))
+	token := counter<<hostBits | int64(hostID&(1<<hostBits-1))
+	t.highestToken = token
 	return token
 }
 
-// Fenced takes the news that an executor refused our token. The one that
-// fenced us is unknown; the next has to be above it, so tokens jump, at first a
-// little: far jumps would put them ahead of the clock, and a host that starts
-// anew below them.
+// Fenced records that an executor refused this host's token because it knows a higher one.
+// The holder of that one is unknown. The next token has to exceed it, so tokens jump ahead,
+// at first by little: long jumps would put them ahead of the clock, where a restarted
+// host's new tokens would not exceed them.
 func (t *Table) Fenced(cell string, view View, now time.Duration) {
 	state := t.state(cell)
-	state.fenced++
-	t.highest += 1 << (ownBits + min(state.fenced, longestJump))
-	restarted := view.Restarted && now < t.started+restartTime
-	if restarted && state.fenced <= quickRetries && t.madeByNobody(cell, view) {
-		state.noClaim = now + t.limits.Retry
+	state.consecutiveFences++
+	t.highestToken += 1 << (hostBits + min(state.consecutiveFences, maxJumpShift))
+	restarted := view.Restarted && now < t.started+restartWindow
+	if restarted && state.consecutiveFences <= maxQuickRetries && t.hasNoLiveHolder(cell, view) {
+		state.noClaimBefore = now + t.limits.Retry
 		return
 	}
-	state.noClaim = now + t.limits.Fenced*time.Duration(min(state.fenced, longestFencedRun))
+	state.noClaimBefore = now + t.limits.Fenced*time.Duration(min(state.consecutiveFences, maxFenceBackoff))
 }
 
-// madeByNobody reports whether a cell's token can't be of a host that lives:
-// all that should be there have told their claims, and none claims the cell.
-func (t *Table) madeByNobody(cell string, view View) bool {
+// hasNoLiveHolder reports whether no running host can hold the token of a cell: all
+// expected hosts have reported their claims, and none of them claims the cell.
+func (t *Table) hasNoLiveHolder(cell string, view View) bool {
 	for owner := range t.claims[cell] {
 		if owner != view.Self.Address {
 			return false
 		}
 	}
-	return allHeard(view)
+	return allReported(view)
 }
 
-// ClaimAccepted takes the news that a claim of ours has held.
-func (t *Table) ClaimAccepted(cell string) { t.state(cell).fenced = 0 }
+// ClaimAccepted records that the executors have accepted a claim of this host.
+func (t *Table) ClaimAccepted(cell string) { t.state(cell).consecutiveFences = 0 }
--- a/pkg/ownership/tokens_test.go
+++ b/pkg/ownership/tokens_test.go
@@ -9,7 +9,7 @@
 
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-func TestAFencedHostWaitsLongerEachTime(t *testing.T) {
+func TestFenceBackoffGrows(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(DefaultLimits(), 0)
 	view := View{Self: host("a", domain), Expected: 1}
@@ -22,10 +22,10 @@
 	}
 	table.ClaimAccepted(domain)
 	table.Fenced(domain, view, now)
-	c.Assert(table.ShouldClaim(domain, domain, view, now+2*time.Second), qt.IsTrue, qt.Commentf("a claim that held ends the run"))
+	c.Assert(table.ShouldClaim(domain, domain, view, now+2*time.Second), qt.IsTrue, qt.Commentf("an accepted claim resets the backoff"))
 }
 
-func TestTokens(t *testing.T) {
+func TestNextToken(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(DefaultLimits(), 0)
 	first := table.NextToken(noon, 1)
@@ -33,16 +33,16 @@
 	c.Assert(second > first, qt.IsTrue)
 	c.Assert(second < 1<<53, qt.IsTrue, qt.Commentf("exact in a JSON number"))
 	table.SetClaims("b", claimOf("b", second+1<<40))
-	c.Assert(table.NextToken(noon, 1) > second+1<<40, qt.IsTrue, qt.Commentf("above all that were seen"))
+	c.Assert(table.NextToken(noon, 1) > second+1<<40, qt.IsTrue, qt.Commentf("above all tokens seen"))
 	restarted := NewTable(DefaultLimits(), 0)
-	c.Assert(restarted.NextToken(noon.Add(2*time.Second/ticksPerSecond), 1) > first, qt.IsTrue, qt.Commentf("above those from before a restart"))
+	c.Assert(restarted.NextToken(noon.Add(2*time.Second/ticksPerSecond), 1) > first, qt.IsTrue, qt.Commentf("above tokens from before a restart"))
 	other := NewTable(DefaultLimits(), 0)
-	c.Assert(other.NextToken(noon, 2), qt.Not(qt.Equals), first, qt.Commentf("no two hosts make the same"))
+	c.Assert(other.NextToken(noon, 2), qt.Not(qt.Equals), first, qt.Commentf("no two hosts make the same token"))
 }
 
-// Cuts make hosts fence each other. However often that was, a host that starts
-// anew makes tokens above theirs.
-func TestTokensDoNotRunAheadOfTheClock(t *testing.T) {
+// Guards against tokens that run ahead of the clock after many refusals: a restarted host,
+// which takes its tokens from the clock, could not exceed them.
+func TestRepeatedFencesKeepTokensNearTheClock(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(DefaultLimits(), 0)
 	view := View{Self: host("a", domain), Expected: 1}
@@ -51,7 +51,7 @@
 	for range 20 {
 		last = table.NextToken(day, 1)
 		table.Fenced(domain, view, now)
-		wait := table.state(domain).noClaim - now
+		wait := table.state(domain).noClaimBefore - now
 		now, day = now+wait, day.Add(wait)
 	}
 	last = max(last, table.NextToken(day, 1))
@@ -59,10 +59,10 @@
 	c.Assert(restarted.NextToken(day.Add(time.Second), 1) > last, qt.IsTrue)
 }
 
-// After a restart of everything the executors may know tokens of a host whose
-// clock went ahead. All hosts are seen and none owns the cell, so nobody has to
-// be spared.
-func TestTokensOfADeadHostAreOvertakenSoon(t *testing.T) {
+// After a restart of the whole system, executors may know tokens of a host whose clock was
+// ahead. As all hosts are reachable and none owns the cell, the new owner must not wait the
+// full backoff.
+func TestTokensOfADeadHostAreExceededQuickly(t *testing.T) {
 	c := qt.New(t)
 	dead := NewTable(DefaultLimits(), 0).NextToken(noon.Add(3*time.Second), 7)
 	table := NewTable(DefaultLimits(), 0)
@@ -72,25 +72,25 @@
 	now, day := 100*time.Millisecond, noon
 	for table.NextToken(day, 1) < dead {
 		table.Fenced(domain, view, now)
-		wait := table.state(domain).noClaim - now
+		wait := table.state(domain).noClaimBefore - now
 		now, day = now+wait, day.Add(wait)
 	}
-	c.Assert(now < 600*time.Millisecond, qt.IsTrue, qt.Commentf("took until %s", now))
+	c.Assert(now < 600*time.Millisecond, qt.IsTrue, qt.Commentf("exceeded at %s", now))
 }
 
-// A host of the domain that has just started may not be seen yet. Fencing it
-// back at once would have both run the same tasks.
-func TestALongRunningHostThatIsFencedBySomebodyUnseenWaits(t *testing.T) {
+// A refusal may come from a host of the domain that has just started and is not known yet.
+// If the former owner claimed the cell back at once, both would run the same tasks.
+func TestLongRunningHostWaitsAfterUnknownFence(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(DefaultLimits(), 0)
 	other := host("b", domain)
 	other.HasReported = true
 	view := View{Self: host("a", domain), Up: []Host{other}, Expected: 2, Restarted: true}
 	table.Fenced(domain, view, time.Hour)
-	c.Assert(table.state(domain).noClaim, qt.Equals, time.Hour+DefaultLimits().Fenced)
+	c.Assert(table.state(domain).noClaimBefore, qt.Equals, time.Hour+DefaultLimits().Fenced)
 }
 
-func TestAHostThatIsFencedByAnOwnerInSightWaits(t *testing.T) {
+func TestHostFencedByReachableOwnerWaits(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(DefaultLimits(), 0)
 	other := host("b", domain)
@@ -98,5 +98,5 @@
 	view := View{Self: host("a", domain), Up: []Host{other}, Expected: 2}
 	table.SetClaims("b", claimOf("b", 5))
 	table.Fenced(domain, view, later)
-	c.Assert(table.state(domain).noClaim, qt.Equals, later+DefaultLimits().Fenced)
+	c.Assert(table.state(domain).noClaimBefore, qt.Equals, later+DefaultLimits().Fenced)
 }
