--- a/pkg/member/hubs.go
+++ b/pkg/member/hubs.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// Links between all hosts of a domain grow with the square of their number. So
-// only small domains have them. In a large one the strongest hosts are its hubs:
-// all hosts hold links to them, and each to a few others besides. Hubs own the
-// cells and read the store for the domain, so the others need no more.
+// With links between all hosts of a domain, the number of links grows with the square of
+// the number of hosts, so only small domains have them. In a large domain the strongest
+// hosts are its hubs: each host holds links to all hubs and to a few other hosts. Only hubs
+// own cells and read the store for the domain, so other hosts need no more links.
 const (
-	// meshSize is the number of hosts of a domain up to which all hold links to
-	// each other.
-	meshSize = 40
-	// hubCount is how many hubs a large domain has: more than it has cells, by
-	// the users' largest deployments (docs/CAPACITY.md).
+	// maxMeshSize is the number of hosts of a domain up to which all hold links to each
+	// other.
+	maxMeshSize = 40
+	// hubCount is the number of hubs of a large domain. It has to exceed the number of the
+	// domain's cells.
 	hubCount = 20
-	// sideLinks is how many other hosts a host of a large domain holds links to,
+	// ringLinks is the number of other hosts to which a host of a large domain holds links,
 	// so that it isn't cut off when all hubs are lost.
-	sideLinks = 4
-	// hubPatience is how long a hub may be out of sight before the next in rank
-	// counts as one beside it.
-	hubPatience = 1500 * time.Millisecond
+	ringLinks = 4
+	// hubGracePeriod is how long a hub may be unreachable before the next host in rank
+	// becomes a hub.
+	hubGracePeriod = 1500 * time.Millisecond
 )
 
-// domainHosts are the listed hosts of a domain, ranked as hubs.
-type domainHosts []Listed
+// rankedHosts holds the listed hosts of a domain, those that become hubs first.
+type rankedHosts []Listed
 
-// ranked sorts hosts: the stronger ones first, of equals by a hash that all hosts
-// work out alike.
-func ranked(hosts []Listed) domainHosts {
+// rankHosts sorts hosts by descending weight, and hosts of equal weight by a hash on which
+// all hosts agree.
+func rankHosts(hosts []Listed) rankedHosts {
 	slices.SortFunc(hosts, func(a, b Listed) int {
 		return cmp.Or(
 			cmp.Compare(b.Weight, a.Weight),
@@ -41,128 +41,130 @@
 	return hosts
 }
 
-// large reports whether not all hosts hold links to each other.
-func (d domainHosts) large() bool { return len(d) > meshSize }
+// isLarge reports whether a domain has too many hosts for each of them to hold links to all
+// others.
+func (d rankedHosts) isLarge() bool { return len(d) > maxMeshSize }
 
-// rankDomains sorts the listed hosts by domain.
+// rankDomains groups the listed hosts by domain and ranks them.
 func (t *Table) rankDomains() {
 	byDomain := map[string][]Listed{}
 	for _, host := range t.listed {
 		byDomain[host.Domain] = append(byDomain[host.Domain], host)
 	}
-	t.domains = map[string]domainHosts{}
+	t.domains = map[string]rankedHosts{}
 	for domain, hosts := range byDomain {
-		t.domains[domain] = ranked(hosts)
+		t.domains[domain] = rankHosts(hosts)
 	}
 }
 
-// isMissing reports whether a host that a link is wanted to has been out of sight
-// for long.
-func (t *Table) isMissing(address string, now time.Duration) bool {
+// isUnreachable reports whether a host to which a link is wanted has been unreachable for
+// longer than hubGracePeriod.
+func (t *Table) isUnreachable(address string, now time.Duration) bool {
 	if address == t.self.Address {
 		return false
 	}
 	if _, up := t.up[address]; up {
 		return false
 	}
-	since, noted := t.missing[address]
-	return noted && now > since+hubPatience
+	since, known := t.unreachableSince[address]
+	return known && now > since+hubGracePeriod
 }
 
-// hubs returns the hubs of the own domain, and those in rank before them that are
-// missing. Both are nil in a small domain.
-func (t *Table) hubs(now time.Duration) (hubs, missing []string) {
+// hubs returns the hubs of the own domain, and the unreachable hosts that rank before the
+// last of them. Both are nil in a small domain.
+func (t *Table) hubs(now time.Duration) (hubs, unreachable []string) {
 	own := t.domains[t.self.Domain]
-	if !own.large() {
+	if !own.isLarge() {
 		return nil, nil
 	}
 	for _, host := range own {
 		switch {
 		case len(hubs) == hubCount:
-			return hubs, missing
-		case !t.isMissing(host.Address, now):
+			return hubs, unreachable
+		case !t.isUnreachable(host.Address, now):
 			hubs = append(hubs, host.Address)
-		case len(missing) < hubCount:
-			missing = append(missing, host.Address)
+		case len(unreachable) < hubCount:
+			unreachable = append(unreachable, host.Address)
 		}
 	}
-	return hubs, missing
+	return hubs, unreachable
 }
 
-// HubTest tells hubs from other hosts as of one moment.
+// HubTest reports which hosts are hubs at one point in time.
 type HubTest struct {
-	table *Table
-	own   []string // the hubs of the own domain
+	table   *Table
+	ownHubs []string // of the own domain
 }
 
-// HubTest works the hubs out for several questions. The table must not change
-// between them.
+// HubTest computes the hubs once for several calls of IsHub. The table must not change
+// between these.
 func (t *Table) HubTest(now time.Duration) HubTest {
 	own, _ := t.hubs(now)
-	return HubTest{table: t, own: own}
+	return HubTest{table: t, ownHubs: own}
 }
 
-// IsHub reports whether a host may own cells and read the store for its domain,
-// as all hosts of small domains may, and those that aren't listed yet.
+// IsHub reports whether a host may own cells and read the store for its domain, as may all
+// hosts of small domains and hosts that aren't listed yet.
 func (h HubTest) IsHub(address, domain string) bool {
 	hosts := h.table.domains[domain]
-	if _, listed := h.table.listed[address]; !hosts.large() || !listed {
+	if _, listed := h.table.listed[address]; !hosts.isLarge() || !listed {
 		return true
 	}
 	if domain == h.table.self.Domain {
-		return slices.Contains(h.own, address)
+		return slices.Contains(h.ownHubs, address)
 	}
 	first := hosts[:hubCount]
 	return slices.ContainsFunc(first, func(host Listed) bool { return host.Address == address })
 }
 
-// IsHub is HubTest for a single question.
+// IsHub is HubTest.IsHub for a single call.
 func (t *Table) IsHub(address, domain string, now time.Duration) bool {
 	return t.HubTest(now).IsHub(address, domain)
 }
 
-// IsLarge reports whether the own domain has hosts that hold no links to each
-// other.
-func (t *Table) IsLarge() bool { return t.domains[t.self.Domain].large() }
+// IsLarge reports whether the own domain has too many hosts for each of them to hold links
+// to all others.
+func (t *Table) IsLarge() bool { return t.domains[t.self.Domain].isLarge() }
 
-// wantedNear returns the hosts of the own domain to hold links to. From the first
-// time on that it names a hub, that one counts as missing unless its link is up.
-func (t *Table) wantedNear(now time.Duration) []string {
+// wantedInDomain returns the hosts of the own domain to keep links to. A hub without a link
+// counts as unreachable from the first call that returns it.
+func (t *Table) wantedInDomain(now time.Duration) []string {
 	own := t.domains[t.self.Domain]
-	if !own.large() {
+	if !own.isLarge() {
 		var all []string
 		for _, host := range own {
 			all = append(all, host.Address)
 		}
 		return all
 	}
-	hubs, missing := t.hubs(now)
-	wanted := slices.Concat(hubs, missing, t.sides(own))
-	t.noteMissing(hubs, now)
+	hubs, unreachable := t.hubs(now)
+	wanted := slices.Concat(hubs, unreachable, t.ringNeighbours(own))
+	t.recordUnreachable(hubs, now)
 	return wanted
 }
 
-// noteMissing notes since when hubs have been out of sight.
-func (t *Table) noteMissing(hubs []string, now time.Duration) {
+// recordUnreachable records since when hubs are unreachable.
+func (t *Table) recordUnreachable(hubs []string, now time.Duration) {
 	for _, address := range hubs {
 		_, up := t.up[address]
-		if _, noted := t.missing[address]; !up && !noted {
-			t.missing[address] = now
+		if _, known := t.unreachableSince[address]; !up && !known {
+			t.unreachableSince[address] = now
 		}
 	}
 }
 
-// sides returns the hosts that come after this one on a ring of all.
-func (t *Table) sides(own domainHosts) []string {
+// ringNeighbours returns the hosts that follow this one on a hash ring of the domain's
+// hosts.
+func (t *Table) ringNeighbours(own rankedHosts) []string {
 	ring := make([]string, 0, len(own))
 	for _, host := range own {
 		ring = append(ring, host.Address)
 	}
 	slices.SortFunc(ring, func(a, b string) int { return cmp.Compare(Score("", a), Score("", b)) })
 	at := slices.Index(ring, t.self.Address)
-	var sides []string
-	for i := range sideLinks {
-		sides = append(sides, ring[(at+1+i+len(ring))%len(ring)])
+	var neighbours []string
+	for i := range ringLinks {
+		neighbours = append(neighbours, ring[(at+1+i+len(ring))%len(ring)])
 	}
-	return sides
+	return neighbours
 }
--- a/pkg/member/hubs_test.go
+++ b/pkg/member/hubs_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// mixedDomain lists hosts of a domain of which each seventh is strong.
+// mixedDomain lists hosts of a domain, of which every seventh is strong.
 func mixedDomain(domain string, count int) []Listed {
 	hosts := listed(domain, count)
 	for i := range hosts {
@@ -27,15 +27,15 @@
 	return t
 }
 
-func TestLinksOfADomain(t *testing.T) {
+func TestWantedLinksPerDomainSize(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		hosts    int
-		most     int // links that a host wants
+		maxLinks int // wanted by any host
 	}{
-		{"a small one: to all", meshSize, meshSize - 1},
-		{"a large one", 2 * meshSize, hubCount + sideLinks},
-		{"ten times as large: no more", 10 * meshSize, hubCount + sideLinks},
+		{"a small domain: links to all", maxMeshSize, maxMeshSize - 1},
+		{"a large domain", 2 * maxMeshSize, hubCount + ringLinks},
+		{"a far larger domain: no more links", 10 * maxMeshSize, hubCount + ringLinks},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -44,12 +44,12 @@
 			for _, host := range hosts {
 				most = max(most, len(tableOf(host, hosts).Wanted(0)))
 			}
-			qt.Assert(t, most, qt.Equals, s.most)
+			qt.Assert(t, most, qt.Equals, s.maxLinks)
 		})
 	}
 }
 
-// All hosts work out the same hubs, the strongest ones.
+// All hosts have to agree on the hubs, which are the strongest hosts.
 func TestHubsAreAgreedOn(t *testing.T) {
 	hosts := mixedDomain("a", 100)
 	want, _ := tableOf(hosts[0], hosts).hubs(0)
@@ -60,16 +60,16 @@
 		qt.Assert(t, got, qt.DeepEquals, want)
 		qt.Assert(t, table.IsHub(host.Address, "a", 0), qt.Equals, slices.Contains(want, host.Address))
 		if i%7 == 0 {
-			qt.Assert(t, slices.Contains(want, host.Address), qt.IsTrue, qt.Commentf("a strong one"))
+			qt.Assert(t, slices.Contains(want, host.Address), qt.IsTrue, qt.Commentf("a strong host"))
 		}
 		far := tableOf(Listed{Name: "x", Domain: "b", Address: "x:1"}, hosts)
 		qt.Assert(t, far.IsHub(host.Address, "a", 0), qt.Equals, slices.Contains(want, host.Address))
 	}
 }
 
-// Hubs that are out of sight for long are replaced by the next in rank, and are
-// hubs again once they are back.
-func TestHubsThatAreMissingAreReplaced(t *testing.T) {
+// An unreachable hub has to be replaced by the next host in rank, and become a hub again
+// when its link is up.
+func TestUnreachableHubsAreReplaced(t *testing.T) {
 	hosts := mixedDomain("a", 100)
 	table := tableOf(hosts[1], hosts)
 	first, _ := table.hubs(0)
@@ -77,20 +77,20 @@
 		table.Up(Peer{Address: address, Domain: "a"})
 	}
 	table.Wanted(0)
-	hubs, missing := table.hubs(hubPatience)
-	qt.Assert(t, hubs, qt.DeepEquals, first, qt.Commentf("not for long yet"))
-	qt.Assert(t, missing, qt.HasLen, 0)
-	hubs, missing = table.hubs(hubPatience + time.Second)
+	hubs, unreachable := table.hubs(hubGracePeriod)
+	qt.Assert(t, hubs, qt.DeepEquals, first, qt.Commentf("within the grace period"))
+	qt.Assert(t, unreachable, qt.HasLen, 0)
+	hubs, unreachable = table.hubs(hubGracePeriod + time.Second)
 	qt.Assert(t, hubs, qt.HasLen, hubCount)
-	qt.Assert(t, missing, qt.DeepEquals, first[:1])
-	qt.Assert(t, table.Wanted(hubPatience+time.Second), qt.Contains, first[0], qt.Commentf("it is still dialled"))
+	qt.Assert(t, unreachable, qt.DeepEquals, first[:1])
+	qt.Assert(t, table.Wanted(hubGracePeriod+time.Second), qt.Contains, first[0], qt.Commentf("still dialled"))
 
 	table.Up(Peer{Address: first[0], Domain: "a"})
-	hubs, _ = table.hubs(hubPatience + 2*time.Second)
+	hubs, _ = table.hubs(hubGracePeriod + 2*time.Second)
 	qt.Assert(t, hubs, qt.DeepEquals, first)
 }
 
-func TestGreetingsInALargeDomain(t *testing.T) {
+func TestLinksAcceptedInALargeDomain(t *testing.T) {
 	hosts := mixedDomain("a", 100)
 	table := tableOf(hosts[0], hosts)
 	wanted := table.Wanted(0)
@@ -98,14 +98,14 @@
 		table.LinkAccepted(host.Address, 0)
 	}
 	table.AddDomainAddresses([]string{hosts[1].Address, hosts[2].Address}, 0)
-	qt.Assert(t, table.Wanted(0), qt.DeepEquals, wanted, qt.Commentf("listed hosts get no link back"))
+	qt.Assert(t, table.Wanted(0), qt.DeepEquals, wanted, qt.Commentf("listed hosts get no link in return"))
 	qt.Assert(t, table.LinkAccepted("new:1", 0), qt.IsTrue)
 	qt.Assert(t, table.LinkAccepted("new:1", 0), qt.IsFalse)
 	qt.Assert(t, table.Wanted(0), qt.Contains, "new:1")
 }
 
 func TestAllHostsOfASmallDomainAreHubs(t *testing.T) {
-	hosts := mixedDomain("a", meshSize)
+	hosts := mixedDomain("a", maxMeshSize)
 	for i, host := range hosts {
 		qt.Assert(t, tableOf(host, hosts).IsHub(host.Address, "a", 0), qt.IsTrue, qt.Commentf(fmt.Sprint(i)))
 	}
--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -1,7 +1,7 @@
-// Package member decides which entry hosts a host keeps links to, which of
-// them count as live, which one is its backup, and which one reads the
-// platform for its failure domain. It does no I/O. Nothing that must be safe
-// rests on its judgements: a host taken for dead may well be alive.
+// Package member decides to which entry hosts a host keeps links, which hosts count as
+// live, which one is its backup, and which one reads the platform for its failure domain.
+// It does no I/O. Safety must not depend on its decisions: a host that it considers dead
+// may be running.
 package member
 
 import (
@@ -14,28 +14,28 @@
 	"github.com/foxcroft/foxcroft/pkg/once"
 )
 
-// gossipLife is how long an address that peers told of stays a candidate
-// unless it is told again or a link to it is up.
-const gossipLife = 30 * time.Second
+// gossipTTL is how long an address announced by peers stays a candidate after its last
+// announcement. It stays for longer while a link to it is up.
+const gossipTTL = 30 * time.Second
 
-// A host that has stopped as planned may start again, and may then know nobody:
-// its row is gone, and it may not reach the platform. So some hosts of its domain
-// keep dialling it for a while.
+// A host that stopped as planned may start again and then know no other host: its row was
+// removed, and it may not reach the platform. So some hosts of its domain keep dialling it
+// for a while.
 const (
-	leftLife     = 30 * time.Second
-	leftDiallers = 4 // of a domain, for each host that has left
+	redialPeriod = 30 * time.Second
+	redialers    = 4 // hosts of a domain that dial each host that has left
 )
 
-// Listed is a host in the platform's list, which may be old or wrong.
+// Listed is a host in the platform's list, which may be outdated or wrong.
 type Listed struct {
 	Name    string
 	Domain  string
 	Address string // for peers, IP:port
 	Leaving bool
-	Weight  int // thousandths of a core that the host may use; 0 when not told
+	Weight  int // thousandths of a core that the host may use; 0 when unknown
 }
 
-// Peer is what is known of another entry host.
+// Peer is the known state of another entry host.
 type Peer struct {
 	Name        string
 	Domain      string
@@ -45,59 +45,58 @@
 	Version     uint64 // of the configuration in force there
 	Waiting     int    // tasks waiting for a slot there
 	Free        int    // idle slots there
-	Weight      int    // thousandths of a core that the host may use; 0 when not told
-	Usable      int    // slots that it may fill at once; 1 before it has told
+	Weight      int    // thousandths of a core that the host may use; 0 when unknown
+	Usable      int    // slots that it may fill at once; 1 until it reports them
 }
 
 // Table is a host's view of the others. It is not safe for concurrent use.
 type Table struct {
-	self      Peer
-	seeds     []string
-	perDomain int
-	listed    map[string]Listed        // by address
-	gossip    map[string]time.Duration // by address: when last told
-	up        map[string]Peer          // by address: links that are up
-	left      map[string]time.Duration // by address: when hosts have stopped as planned
-	missing   map[string]time.Duration // by address: since when hubs have been out of sight
-	domains   map[string]domainHosts   // the listed hosts of each domain
-	far       []string                 // hosts of other domains to hold links to
+	self             Peer
+	seeds            []string
+	perDomain        int
+	listed           map[string]Listed        // by address
+	gossip           map[string]time.Duration // by address: time of the last announcement
+	up               map[string]Peer          // by address: links that are up
+	leftAt           map[string]time.Duration // by address: when hosts stopped as planned
+	unreachableSince map[string]time.Duration // by address, for hubs
+	domains          map[string]rankedHosts   // listed hosts by domain
+	remoteLinks      []string                 // hosts of other domains to keep links to
 }
 
-// NewTable makes a table. seeds are addresses to dial before others are known;
+// NewTable makes a table. seeds are addresses to dial before other hosts are known;
 // perDomain is the number of links to keep to each other domain.
 func NewTable(self Peer, seeds []string, perDomain int) *Table {
 	return &Table{
-		self:      self,
-		seeds:     seeds,
-		perDomain: perDomain,
-		listed:    map[string]Listed{},
-		gossip:    map[string]time.Duration{},
-		up:        map[string]Peer{},
-		left:      map[string]time.Duration{},
-		missing:   map[string]time.Duration{},
+		self:             self,
+		seeds:            seeds,
+		perDomain:        perDomain,
+		listed:           map[string]Listed{},
+		gossip:           map[string]time.Duration{},
+		up:               map[string]Peer{},
+		leftAt:           map[string]time.Duration{},
+		unreachableSince: map[string]time.Duration{},
 	}
 }
 
-// ForgetSeeds ends the links to seeds that nothing else tells of. All hosts have
-// the same few seeds, so that these would hold links to all.
+// ForgetSeeds drops the seeds, so that links to them are kept only for other reasons. All
+// hosts have the same few seeds, which would otherwise hold links to all hosts.
 func (t *Table) ForgetSeeds() { t.seeds = nil }
 
-// SetListed takes a new reading of the platform's list.
+// SetListed replaces the hosts by a new reading of the platform's list.
 func (t *Table) SetListed(hosts []Listed) {
 	t.listed = make(map[string]Listed, len(hosts))
 	for _, host := range hosts {
 		t.listed[host.Address] = host
 	}
 	t.rankDomains()
-	t.far = t.chooseFar()
+	t.remoteLinks = t.chooseRemote()
 }
 
-// LinkAccepted takes the news that a host has opened a link to this one, and reports
-// whether that changes which links are wanted. Listed hosts of a large domain get
-// no link back.
+// LinkAccepted records that a host has opened a link to this one, and reports whether that
+// changes the wanted links. In a large domain, a listed host gets no link in return.
 func (t *Table) LinkAccepted(address string, now time.Duration) bool {
 	left := t.hasLeft(address)
-	delete(t.left, address)
+	delete(t.leftAt, address)
 	if _, listed := t.listed[address]; listed && t.IsLarge() {
 		return left
 	}
@@ -106,8 +105,9 @@
 	return left || !known
 }
 
-// AddDomainAddresses is AddAddresses for all hosts of the own domain that a peer sees. In a
-// large domain the list says which of those that it names a link is wanted to.
+// AddDomainAddresses is AddAddresses for all hosts of the own domain that a peer reaches.
+// In a large domain the wanted links to listed hosts follow from the list, so their
+// addresses are ignored.
 func (t *Table) AddDomainAddresses(addresses []string, now time.Duration) bool {
 	if !t.IsLarge() {
 		return t.AddAddresses(addresses, now)
@@ -121,25 +121,26 @@
 	return t.AddAddresses(unlisted, now)
 }
 
-// AddAddresses takes addresses of hosts to hold links to that a peer told of, and reports
-// whether one of them is new. A peer may not know yet that a host has left.
+// AddAddresses records addresses of hosts to keep links to, as announced by a peer, and
+// reports whether any is new. Addresses of hosts that have left are ignored: the peer may
+// not know yet that they have.
 func (t *Table) AddAddresses(addresses []string, now time.Duration) bool {
-	news := false
+	isNew := false
 	for _, address := range addresses {
 		if t.hasLeft(address) {
 			continue
 		}
 		_, known := t.gossip[address]
-		news = news || !known
+		isNew = isNew || !known
 		t.gossip[address] = now
 	}
-	return news
+	return isNew
 }
 
-// Up takes the news that a link is up, or that its peer told something new.
+// Up records that a link is up, or a change of its peer's state.
 func (t *Table) Up(peer Peer) {
-	delete(t.left, peer.Address)
-	delete(t.missing, peer.Address)
+	delete(t.leftAt, peer.Address)
+	delete(t.unreachableSince, peer.Address)
 	t.up[peer.Address] = peer
 }
 
@@ -149,49 +150,48 @@
 	return peer, up
 }
 
-// Refresh takes what a peer told, unless its link has gone down or leads to
-// another incarnation by now.
+// Refresh updates the state of a peer, unless its link has gone down or leads to another
+// incarnation by now.
 func (t *Table) Refresh(peer Peer) {
 	if known, ok := t.up[peer.Address]; ok && known.Incarnation == peer.Incarnation {
 		t.up[peer.Address] = peer
 	}
 }
 
-// Down takes the news that a link went down. A peer that was leaving is gone,
-// and not one that is out of sight.
+// Down records that a link went down. A peer that was leaving counts as stopped, any other
+// one as unreachable.
 func (t *Table) Down(address string, now time.Duration) {
 	if t.up[address].Leaving {
-		t.left[address] = now
+		t.leftAt[address] = now
 		delete(t.gossip, address)
 	}
 	delete(t.up, address)
 }
 
 func (t *Table) hasLeft(address string) bool {
-	_, left := t.left[address]
+	_, left := t.leftAt[address]
 	return left
 }
 
-// Expected returns the addresses of the hosts that should be there, as far as
-// links to them are wanted. Seeds count only while no list has been read: they
-// may name hosts that are gone for good.
+// Expected returns the wanted addresses at which a host should be running. Seeds count only
+// until a list has been read, since they may name hosts that were removed for good.
 func (t *Table) Expected(now time.Duration) []string {
 	var expected []string
 	for _, address := range t.Wanted(now) {
 		_, listed := t.listed[address]
-		_, told := t.gossip[address]
+		_, announced := t.gossip[address]
 		_, isUp := t.up[address]
 		seed := len(t.listed) == 0 && !t.hasLeft(address)
-		if seed || told || isUp || (listed && !t.hasLeft(address)) {
+		if seed || announced || isUp || (listed && !t.hasLeft(address)) {
 			expected = append(expected, address)
 		}
 	}
 	return expected
 }
 
-// Wanted returns the sorted addresses to keep links to: the hosts of the own
-// domain, of a large one only some, a few of each other domain, and hosts that may
-// come back.
+// Wanted returns the sorted addresses to keep links to: the hosts of the own domain, or
+// some of them in a large domain, a few hosts of each other domain, and hosts that may
+// start again.
 func (t *Table) Wanted(now time.Duration) []string {
 	wanted := map[string]bool{}
 	for _, seed := range t.seeds {
@@ -199,27 +199,27 @@
 	}
 	for address, at := range t.gossip {
 		_, isUp := t.up[address]
-		if isUp || now-at <= gossipLife {
+		if isUp || now-at <= gossipTTL {
 			wanted[address] = true
 			continue
 		}
 		delete(t.gossip, address)
 	}
-	for address, at := range t.left {
-		if now-at <= leftLife && t.dials(address) {
+	for address, at := range t.leftAt {
+		if now-at <= redialPeriod && t.shouldRedial(address) {
 			wanted[address] = true
 		}
 	}
-	for _, address := range slices.Concat(t.wantedNear(now), t.far) {
+	for _, address := range slices.Concat(t.wantedInDomain(now), t.remoteLinks) {
 		wanted[address] = true
 	}
 	delete(wanted, t.self.Address)
 	return slices.Sorted(maps.Keys(wanted))
 }
 
-// dials reports whether this host is among those of its domain that dial one
-// that has left.
-func (t *Table) dials(address string) bool {
+// shouldRedial reports whether this host is among those of its domain that dial a host that
+// has left.
+func (t *Table) shouldRedial(address string) bool {
 	own := Score(address, t.self.Address)
 	before := 0
 	for _, peer := range t.up {
@@ -227,12 +227,12 @@
 			before++
 		}
 	}
-	return before < leftDiallers
+	return before < redialers
 }
 
-// chooseFar picks the hosts of the other domains to hold links to.
-func (t *Table) chooseFar() []string {
-	var far []string
+// chooseRemote returns the hosts of other domains to keep links to.
+func (t *Table) chooseRemote() []string {
+	var chosen []string
 	for domain, hosts := range t.domains {
 		if domain == t.self.Domain {
 			continue
@@ -241,21 +241,23 @@
 		for _, host := range hosts {
 			addresses = append(addresses, host.Address)
 		}
-		far = append(far, t.nearest(addresses)...)
+		chosen = append(chosen, t.topRanked(addresses)...)
 	}
-	return far
+	return chosen
 }
 
-// nearest picks the links to another domain by rendezvous hashing, so that
-// the hosts of a domain spread over those of the other.
-func (t *Table) nearest(addresses []string) []string {
+// topRanked returns the hosts of another domain to keep links to. It ranks them by
+// rendezvous hashing, so that the links of a domain's hosts spread over the hosts of the
+// other.
+func (t *Table) topRanked(addresses []string) []string {
 	sort.Slice(addresses, func(i, j int) bool {
 		return Score(t.self.Name, addresses[i]) > Score(t.self.Name, addresses[j])
 	})
 	return addresses[:min(len(addresses), t.perDomain)]
 }
 
-// Score is the rendezvous weight of a pair; the pair with the highest wins.
+// Score returns the rendezvous score of a key and a candidate; the candidate with the
+// highest score is chosen.
 func Score(key, candidate string) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(key)
@@ -264,23 +266,23 @@
 	return digest.Sum64()
 }
 
-// View is a snapshot of the table for request paths. It is never changed.
+// View is an immutable snapshot of the table for request paths.
 type View struct {
 	Self     Peer
-	Peers    []Peer // links that are up, by address
+	Peers    []Peer // links that are up, sorted by address
 	Backup   once.Incarnation
 	IsReader bool // this host reads the platform for its domain
 }
 
-// View makes a snapshot. It keeps the backup of the one before, if that host
-// is still up and staying.
+// View returns a snapshot. It keeps the given backup of the snapshot before, if that host
+// is up and not leaving.
 func (t *Table) View(backup once.Incarnation) *View {
 	v := &View{Self: t.self, IsReader: true}
 	seen := map[once.Incarnation]bool{t.self.Incarnation: true}
 	for _, address := range slices.Sorted(maps.Keys(t.up)) {
 		peer := t.up[address]
 		if seen[peer.Incarnation] {
-			continue // two addresses lead to it
+			continue // two addresses lead to the same host
 		}
 		seen[peer.Incarnation] = true
 		v.Peers = append(v.Peers, peer)
@@ -292,7 +294,8 @@
 	return v
 }
 
-// chooseBackup spreads the primaries of a domain over its hosts.
+// chooseBackup keeps the former backup if it is among the peers, and otherwise picks one by
+// rendezvous hashing, so that the hosts of a domain spread over each other as backups.
 func chooseBackup(peers []Peer, self string, before once.Incarnation) once.Incarnation {
 	var best once.Incarnation
 	var bestScore uint64
@@ -307,7 +310,7 @@
 	return best
 }
 
-// Domain returns the peers of the own domain that are up and staying.
+// Domain returns the peers of the own domain that are up and not leaving.
 func (v *View) Domain() []Peer {
 	var peers []Peer
 	for _, peer := range v.Peers {
@@ -318,8 +321,8 @@
 	return peers
 }
 
-// Owners returns the names of the hosts among which the slots of the own
-// domain are divided, this one included unless it is leaving.
+// Owners returns the names of the hosts among which the slots of the own domain are
+// divided, this one included unless it is leaving.
 func (v *View) Owners() []string {
 	var names []string
 	for _, peer := range v.Domain() {
@@ -332,7 +335,6 @@
 	return names
 }
 
-// ByIncarnation returns the peer of an incarnation.
 func (v *View) ByIncarnation(inc once.Incarnation) (Peer, bool) {
 	for _, peer := range v.Peers {
 		if peer.Incarnation == inc {
@@ -342,7 +344,8 @@
 	return Peer{}, false
 }
 
-// InDomain returns a peer of a domain to relay through, spread by key.
+// InDomain returns a peer of a domain to relay through, chosen by rendezvous hashing of the
+// key.
 func (v *View) InDomain(domain, key string) (Peer, bool) {
 	var best Peer
 	var bestScore uint64
@@ -357,5 +360,4 @@
 	return best, best.Address != ""
 }
 
-// SetLeaving marks this host as leaving.
 func (t *Table) SetLeaving() { t.self.Leaving = true }
--- a/pkg/member/member_test.go
+++ b/pkg/member/member_test.go
@@ -30,20 +30,20 @@
 		now      time.Duration
 		count    int
 	}{
-		{"nothing known", func(*Table) {}, 0, 1},
-		{"own domain listed, without itself", func(t *Table) { t.SetListed(listed("a", 3)) }, 0, 3},
-		{"few of another domain", func(t *Table) { t.SetListed(listed("b", 30)) }, 0, 3},
-		{"few of each of eight domains", func(t *Table) {
+		{"only a seed", func(*Table) {}, 0, 1},
+		{"own domain listed, without this host", func(t *Table) { t.SetListed(listed("a", 3)) }, 0, 3},
+		{"some hosts of another domain", func(t *Table) { t.SetListed(listed("b", 30)) }, 0, 3},
+		{"some hosts of each of eight domains", func(t *Table) {
 			var all []Listed
 			for _, domain := range []string{"b", "c", "d", "e", "f", "g", "h", "i"} {
 				all = append(all, listed(domain, 30)...)
 			}
 			t.SetListed(all)
 		}, 0, 17},
-		{"told by peers", func(t *Table) { t.AddAddresses([]string{"x:1"}, 0) }, 0, 2},
-		{"told by peers long ago", func(t *Table) { t.AddAddresses([]string{"x:1"}, 0) }, gossipLife + 1, 1},
-		{"told long ago, but up", func(t *Table) { t.AddAddresses([]string{"x:1"}, 0); t.Up(Peer{Address: "x:1"}) }, gossipLife + 1, 2},
-		{"off the list", func(t *Table) { t.SetListed(listed("a", 3)); t.SetListed(nil) }, 0, 1},
+		{"announced by a peer", func(t *Table) { t.AddAddresses([]string{"x:1"}, 0) }, 0, 2},
+		{"announcement expired", func(t *Table) { t.AddAddresses([]string{"x:1"}, 0) }, gossipTTL + 1, 1},
+		{"announcement expired, but link up", func(t *Table) { t.AddAddresses([]string{"x:1"}, 0); t.Up(Peer{Address: "x:1"}) }, gossipTTL + 1, 2},
+		{"removed from the list", func(t *Table) { t.SetListed(listed("a", 3)); t.SetListed(nil) }, 0, 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -64,10 +64,10 @@
 	}{
 		{"alone", func(*Table) {}, 1, false, true},
 		{"with two peers", func(t *Table) { t.Up(peerNamed(1, "a")); t.Up(peerNamed(3, "a")) }, 3, true, false},
-		{"a peer is gone", func(t *Table) { t.Up(peerNamed(1, "a")); t.Down("a:1", 0) }, 1, false, true},
+		{"a peer's link went down", func(t *Table) { t.Up(peerNamed(1, "a")); t.Down("a:1", 0) }, 1, false, true},
 		{"a peer is leaving", func(t *Table) { p := peerNamed(1, "a"); p.Leaving = true; t.Up(p) }, 1, false, true},
-		{"another domain's hosts", func(t *Table) { t.Up(peerNamed(1, "b")) }, 1, false, true},
-		{"itself is leaving", func(t *Table) { t.Up(peerNamed(1, "a")); t.SetLeaving() }, 1, true, false},
+		{"a peer of another domain", func(t *Table) { t.Up(peerNamed(1, "b")) }, 1, false, true},
+		{"this host is leaving", func(t *Table) { t.Up(peerNamed(1, "a")); t.SetLeaving() }, 1, true, false},
 		{"two addresses of one host", func(t *Table) { p := peerNamed(1, "a"); t.Up(p); p.Address = "z"; t.Up(p) }, 2, true, false},
 	}
 	for _, s := range scenarios {
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestLateHeartbeat: a heartbeat that comes after its link went down, or after
-// the host was replaced, brings nobody back.
-func TestLateHeartbeat(t *testing.T) {
+// A heartbeat that arrives after its link went down, or after the host was replaced, must
+// not restore the old peer.
+func TestRefreshIgnoresLateHeartbeats(t *testing.T) {
 	table := NewTable(peerNamed(1, "a"), nil, 2)
 	old := peerNamed(2, "a")
 	table.Up(old)
@@ -99,8 +99,8 @@
 	qt.Assert(t, ok, qt.IsTrue)
 }
 
-// TestBackupIsKept: the backup changes only when it goes, since a change costs
-// new homes.
+// The backup must change only when its host becomes unreachable, since a change creates new
+// replica pairs.
 func TestBackupIsKept(t *testing.T) {
 	table := NewTable(peerNamed(1, "a"), nil, 2)
 	for i := 2; i <= 9; i++ {
@@ -119,8 +119,8 @@
 	qt.Assert(t, next.IsZero(), qt.IsFalse)
 }
 
-func TestHostsThatShouldBeThere(t *testing.T) {
-	stay := func(t *Table) { t.SetListed(listed("a", 3)) }
+func TestExpected(t *testing.T) {
+	setList := func(t *Table) { t.SetListed(listed("a", 3)) }
 	leaving := peerNamed(1, "a")
 	leaving.Leaving = true
 	scenarios := []struct {
@@ -128,17 +128,17 @@
 		prepare  func(*Table)
 		count    int
 	}{
-		{"a seed, before there is a list", func(*Table) {}, 1},
-		{"a seed that isn't listed", stay, 2},
-		{"one out of sight", func(t *Table) { stay(t); t.Up(peerNamed(1, "a")); t.Down("a:1", 0) }, 2},
-		{"one that has left, and is listed yet", func(t *Table) { stay(t); t.Up(leaving); t.Down("a:1", 0) }, 1},
-		{"one that has left, as a peer doesn't know", func(t *Table) {
+		{"a seed before the list was read", func(*Table) {}, 1},
+		{"an unlisted seed", setList, 2},
+		{"an unreachable host", func(t *Table) { setList(t); t.Up(peerNamed(1, "a")); t.Down("a:1", 0) }, 2},
+		{"a host that has left but is still listed", func(t *Table) { setList(t); t.Up(leaving); t.Down("a:1", 0) }, 1},
+		{"a host that has left but is announced by a peer", func(t *Table) {
 			t.SetListed(listed("a", 1))
 			t.Up(leaving)
 			t.Down("a:1", 0)
 			t.AddAddresses([]string{"a:1"}, 0)
 		}, 0},
-		{"one that has left and is back", func(t *Table) { stay(t); t.Up(leaving); t.Down("a:1", 0); t.LinkAccepted("a:1", 0) }, 2},
+		{"a host that has left and restarted", func(t *Table) { setList(t); t.Up(leaving); t.Down("a:1", 0); t.LinkAccepted("a:1", 0) }, 2},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -149,9 +149,9 @@
 	}
 }
 
-// TestHostsThatLeftAreDialled: one that starts again may know nobody, so a few
-// of its domain look for it for a while; it doesn't count as missing.
-func TestHostsThatLeftAreDialled(t *testing.T) {
+// A host that restarts after leaving may know no other host, so some hosts of its domain
+// have to dial it for a while, but must not expect it to be running.
+func TestHostsThatLeftAreRedialled(t *testing.T) {
 	const hosts = 12
 	dialling := func(domain string, now time.Duration) int {
 		count := 0
@@ -162,24 +162,24 @@
 					table.Up(peerNamed(other, "a"))
 				}
 			}
-			gone := peerNamed(1, "a")
-			gone.Leaving = true
-			table.Up(gone)
-			table.Down(gone.Address, 0)
+			departed := peerNamed(1, "a")
+			departed.Leaving = true
+			table.Up(departed)
+			table.Down(departed.Address, 0)
 			for _, address := range table.Wanted(now) {
-				if address == gone.Address {
+				if address == departed.Address {
 					count++
 				}
 			}
-			qt.Assert(t, slices.Contains(table.Expected(now), gone.Address), qt.IsFalse)
+			qt.Assert(t, slices.Contains(table.Expected(now), departed.Address), qt.IsFalse)
 		}
 		return count
 	}
-	qt.Assert(t, dialling("a", time.Second), qt.Equals, leftDiallers)
-	qt.Assert(t, dialling("a", leftLife+time.Second), qt.Equals, 0)
+	qt.Assert(t, dialling("a", time.Second), qt.Equals, redialers)
+	qt.Assert(t, dialling("a", redialPeriod+time.Second), qt.Equals, 0)
 }
 
-func TestSeedsAreForgottenOnceThereIsAList(t *testing.T) {
+func TestForgetSeeds(t *testing.T) {
 	table := NewTable(peerNamed(1, "a"), []string{"seed:1"}, 2)
 	table.SetListed(listed("a", 3))
 	table.ForgetSeeds()
