--- a/pkg/rtt/estimator.go
+++ b/pkg/rtt/estimator.go
@@ -1,6 +1,6 @@
-// Package rtt works out from the round trips of late how long to wait for an
-// answer, as TCP does (RFC 6298). On a link that is full, answers are late but
-// come; a fixed time would take all peers for dead.
+// Package rtt computes from recent round-trip times how long to wait for a response, as TCP
+// does (RFC 6298). On a saturated link responses are late but arrive, so with a fixed
+// timeout all peers would seem to be dead.
 package rtt
 
 import (
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Weights of a new round trip, from RFC 6298.
+// Weights of a new sample, from RFC 6298.
 const (
-	meanGain      = 8 // the mean moves by one part of so many
-	deviationGain = 4
-	deviations    = 4 // that a timeout lies above the mean
+	meanGainInverse      = 8 // alpha is 1/8
+	deviationGainInverse = 4 // beta is 1/4
+	deviations           = 4 // by which a timeout exceeds the mean
 )
 
-// Estimator keeps the mean and the deviation of round trips. It is safe for
-// concurrent use.
+// Estimator keeps the mean and the deviation of round-trip times. It is safe for concurrent
+// use.
 type Estimator struct {
-	shortest time.Duration // of a timeout
-	longest  time.Duration
-	state    atomic.Pointer[state]
+	minTimeout time.Duration
+	maxTimeout time.Duration
+	state      atomic.Pointer[state]
 }
 
 type state struct {
@@ -28,16 +28,16 @@
 	deviation time.Duration
 }
 
-// NewEstimator makes an estimator whose timeouts lie within bounds. Before the
-// first round trip the timeout is the shortest.
-func NewEstimator(shortest, longest time.Duration) *Estimator {
-	return &Estimator{shortest: shortest, longest: longest}
+// NewEstimator returns an estimator whose timeouts lie between minTimeout and maxTimeout.
+// Before the first sample it returns minTimeout.
+func NewEstimator(minTimeout, maxTimeout time.Duration) *Estimator {
+	return &Estimator{minTimeout: minTimeout, maxTimeout: maxTimeout}
 }
 
-// Observe takes a round trip, also one that took longer than the timeout: a call that
-// stops listening there would never learn that answers have become late. A call without
-// an answer has no round trip. If it counted with the time that was waited for it, then
-// one order in five lost would drive a timeout of 80 ms to 270, on links that take 3.
+// Observe records the round-trip time of a call, also if it exceeds the timeout: otherwise
+// the timeout could not grow when responses become slow. A call without a response has no
+// round-trip time and must not be recorded, since a few lost messages would then raise the
+// timeout far above the round-trip times of the link.
 func (e *Estimator) Observe(trip time.Duration) {
 	for {
 		before := e.state.Load()
@@ -53,16 +53,16 @@
 	}
 	off := (trip - s.mean).Abs()
 	return &state{
-		mean:      s.mean + (trip-s.mean)/meanGain,
-		deviation: s.deviation + (off-s.deviation)/deviationGain,
+		mean:      s.mean + (trip-s.mean)/meanGainInverse,
+		deviation: s.deviation + (off-s.deviation)/deviationGainInverse,
 	}
 }
 
-// Timeout returns how long to wait for the next answer.
+// Timeout returns how long to wait for the next response.
 func (e *Estimator) Timeout() time.Duration {
 	s := e.state.Load()
 	if s == nil {
-		return e.shortest
+		return e.minTimeout
 	}
-	return min(max(s.mean+deviations*s.deviation, e.shortest), e.longest)
+	return min(max(s.mean+deviations*s.deviation, e.minTimeout), e.maxTimeout)
 }
--- a/pkg/rtt/estimator_test.go
+++ b/pkg/rtt/estimator_test.go
@@ -23,11 +23,11 @@
 		atMost   time.Duration
 	}
 	scenarios := []scenario{
-		{testName: "nothing known", atLeast: 80 * ms, atMost: 80 * ms},
-		{testName: "a calm network", trips: repeated(ms, 50), atLeast: 80 * ms, atMost: 80 * ms},
-		{testName: "answers are late on a full link", trips: repeated(120*ms, 20), atLeast: 120 * ms, atMost: 200 * ms},
-		{testName: "answers are later than may be waited for", trips: repeated(300*ms, 20), atLeast: 300 * ms, atMost: 300 * ms},
-		{testName: "calm again", trips: append(repeated(300*ms, 20), repeated(ms, 60)...), atLeast: 80 * ms, atMost: 80 * ms},
+		{testName: "no sample", atLeast: 80 * ms, atMost: 80 * ms},
+		{testName: "short round trips", trips: repeated(ms, 50), atLeast: 80 * ms, atMost: 80 * ms},
+		{testName: "late responses on a saturated link", trips: repeated(120*ms, 20), atLeast: 120 * ms, atMost: 200 * ms},
+		{testName: "responses later than the longest timeout", trips: repeated(300*ms, 20), atLeast: 300 * ms, atMost: 300 * ms},
+		{testName: "short round trips again", trips: append(repeated(300*ms, 20), repeated(ms, 60)...), atLeast: 80 * ms, atMost: 80 * ms},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
