--- a/pkg/openjobs/explore_test.go
+++ b/pkg/openjobs/explore_test.go
@@ -11,41 +11,41 @@
 )
 
 var (
-	plays     = flag.Int("openjobs.plays", 400, "how many plays of the explorer")
-	firstPlay = flag.Uint64("openjobs.first", 0, "seed of the first play")
+	runCount  = flag.Int("openjobs.plays", 400, "number of runs of the simulation")
+	firstSeed = flag.Uint64("openjobs.first", 0, "seed of the first run")
 )
 
-// The explorer plays a job that its caller sends again and again to hosts that are cut
-// off from each other, die and come back, while many of the fronts don't hear that
-// the caller has left them. No front may start it while a run of another's may be
-// alive. What isn't played are hosts that stand still, and cuts between single hosts of one domain.
+// Simulates a job that its caller resubmits to hosts that are cut off from each other,
+// crash and restart, while many fronts don't detect that the caller has disconnected. No
+// front may start the job while a run of another front's may be alive. Suspended hosts and
+// cuts between single hosts of one domain are not simulated.
 func TestExploredJobsRunOnce(t *testing.T) {
-	joined, gone, unheard := 0, 0, 0
-	for seed := *firstPlay; seed < *firstPlay+uint64(*plays); seed++ {
+	joined, continued, unannounced := 0, 0, 0
+	for seed := *firstSeed; seed < *firstSeed+uint64(*runCount); seed++ {
 		w := newWorld(seed)
-		w.after(readyAfter, w.submit)
-		w.after(w.between(0, 2*time.Second), w.trouble)
+		w.after(minCallerDelay, w.submit)
+		w.after(w.between(0, 2*time.Second), w.injectFault)
 		for i := range w.hosts {
-			w.hosts[i].tell()
+			w.hosts[i].announce()
 		}
 		w.run()
-		if w.doubled {
+		if w.ranTwice {
 			t.Fatalf("seed %d:\n%s", seed, w)
 		}
-		joined += w.sendings - len(w.carries)
-		gone += len(w.carries) - 1
-		unheard += w.unheard
+		joined += w.submissions - len(w.executions)
+		continued += len(w.executions) - 1
+		unannounced += w.unannounced
 	}
-	t.Logf("%d plays: %d sendings didn't start anything, %d went on after another; %d ran beside one of which no news could come", *plays, joined, gone, unheard)
-	if joined == 0 || gone == 0 {
-		t.Errorf("the plays have become too tame")
+	t.Logf("%d runs: %d submissions started nothing, %d started the job after another front; %d started it beside a front whose announcement could not arrive", *runCount, joined, continued, unannounced)
+	if joined == 0 || continued == 0 {
+		t.Errorf("the simulated faults cause no resubmitted jobs to join or to start again")
 	}
 }
 
-const exploreID = "job"
+const jobID = "job"
 
-// hostOf returns the index of a front's host.
-func hostOf(front Front) int { return int(front.Address[len(front.Address)-1] - '0') }
+// hostIndex returns the index of a front's host.
+func hostIndex(front Front) int { return int(front.Address[len(front.Address)-1] - '0') }
 
 func (h *modelHost) address() string { return fmt.Sprint("host:", h.index) }
 
@@ -53,154 +53,154 @@
 	return Front{Address: h.address(), Domain: h.domain, Process: fmt.Sprint(h.process)}
 }
 
-// begin starts a process.
-func (h *modelHost) begin() {
+// startProcess starts a new process with empty state.
+func (h *modelHost) startProcess() {
 	h.process++
-	h.dead, h.startAt = false, h.world.now
+	h.dead, h.startedAt = false, h.world.now
 	h.open, h.ended = nil, nil
-	h.own, h.table = NewLocalJobs(resubmit, settle), NewTable(settle)
+	h.local, h.table = NewLocalJobs(resubmit, runTimeout), NewTable(runTimeout)
 }
 
-// tell tells the others of the open job again and again.
-func (h *modelHost) tell() {
+// announce announces the open job to the other hosts, again and again.
+func (h *modelHost) announce() {
 	w := h.world
-	w.after(w.between(ScanInterval/2, ScanInterval), h.tell)
+	w.after(w.between(ScanInterval/2, ScanInterval), h.announce)
 	if h.dead {
 		return
 	}
-	batch := h.own.NextBatch(w.now)
+	batch := h.local.NextBatch(w.now)
 	if len(batch) == 0 {
 		return
 	}
-	w.note("host %d tells", h.index)
+	w.logf("host %d announces", h.index)
 	if h.open != nil {
-		h.open.noteHeard()
+		h.open.trackDelivery()
 	}
 	for i := range w.hosts {
 		if w.isUp(h.index, i) {
-			h.sendNews(i, h.front(), batch, w.hosts[i].domain != h.domain)
+			h.sendAnnouncements(i, h.front(), batch, w.hosts[i].domain != h.domain)
 		}
 	}
 }
 
-// noteHeard notes which hosts the news reaches that is sent now.
-func (o *modelOpen) noteHeard() {
+// trackDelivery records the hosts that an announcement sent now reaches.
+func (o *modelOpen) trackDelivery() {
 	w := o.host.world
 	for i, other := range w.hosts {
-		if key := other.key(); w.passes(o.host.index, i) {
-			w.after(newsTakes, func() { o.heard[key] = o.heard[key] || w.passes(o.host.index, i) })
+		if key := other.key(); w.reaches(o.host.index, i) {
+			w.after(announcementDelay, func() { o.announcedTo[key] = o.announcedTo[key] || w.reaches(o.host.index, i) })
 		}
 	}
 }
 
-func (h *modelHost) sendNews(to int, front Front, jobs []Announcement, passOn bool) {
+func (h *modelHost) sendAnnouncements(to int, front Front, jobs []Announcement, relay bool) {
 	w := h.world
-	w.send(h.index, to, func() { w.hosts[to].takeNews(h, front, jobs, passOn) })
+	w.send(h.index, to, func() { w.hosts[to].handleAnnouncements(h, front, jobs, relay) })
 }
 
-func (h *modelHost) takeNews(from *modelHost, front Front, jobs []Announcement, passOn bool) {
+func (h *modelHost) handleAnnouncements(from *modelHost, front Front, jobs []Announcement, relay bool) {
 	w := h.world
 	if front.Address == h.address() {
 		return
 	}
-	h.table.Record(front, from.address(), jobs, passOn, w.now)
-	h.passNews(from, front, jobs, passOn)
-	holder := w.hosts[hostOf(front)]
+	h.table.Record(front, from.address(), jobs, relay, w.now)
+	h.relayAnnouncements(from, front, jobs, relay)
+	holder := w.hosts[hostIndex(front)]
 	if len(jobs) == 0 || holder.open == nil || holder.front() != front {
 		return
 	}
-	if w.now+jobs[0].Remaining >= holder.open.deadline { // not news of an earlier sending there
-		holder.open.heard[h.key()] = true
+	if w.now+jobs[0].Remaining >= holder.open.deadline { // not an announcement of an earlier submission there
+		holder.open.announcedTo[h.key()] = true
 	}
 }
 
-func (h *modelHost) passNews(from *modelHost, front Front, jobs []Announcement, passOn bool) {
+func (h *modelHost) relayAnnouncements(from *modelHost, front Front, jobs []Announcement, relay bool) {
 	w := h.world
-	if !passOn {
+	if !relay {
 		return
 	}
 	for i, other := range w.hosts {
 		if other != from && other.domain == h.domain && w.isUp(h.index, i) {
-			h.sendNews(i, front, jobs, false)
+			h.sendAnnouncements(i, front, jobs, false)
 		}
 	}
 }
 
 func (h *modelHost) linkUp(other *modelHost) {
 	h.table.LinkUp(other.address())
-	if !h.seesMate(other) {
+	if !h.reachesDomain(other) {
 		h.table.ResetLosses(h.world.now)
 	}
-	h.sendNews(other.index, h.front(), h.own.Announced(h.world.now), other.domain != h.domain)
+	h.sendAnnouncements(other.index, h.front(), h.local.Announced(h.world.now), other.domain != h.domain)
 	if other.domain != h.domain {
 		return
 	}
-	passed := h.table.ToRelay(h.world.now)
+	relayed := h.table.ToRelay(h.world.now)
 	byName := func(a, b Front) int { return strings.Compare(a.Address+a.Process, b.Address+b.Process) }
-	for _, front := range slices.SortedFunc(maps.Keys(passed), byName) { // the same in each play of a seed
+	for _, front := range slices.SortedFunc(maps.Keys(relayed), byName) { // in the same order in each run of a seed
 		if front.Address != other.address() {
-			h.sendNews(other.index, front, passed[front], false)
+			h.sendAnnouncements(other.index, front, relayed[front], false)
 		}
 	}
 }
 
-// seesMate reports whether another host of the domain than one is in sight.
-func (h *modelHost) seesMate(than *modelHost) bool {
+// reachesDomain reports whether a link to a host of the own domain other than one is up.
+func (h *modelHost) reachesDomain(except *modelHost) bool {
 	for i, other := range h.world.hosts {
-		if other != than && other.domain == h.domain && h.world.isUp(h.index, i) {
+		if other != except && other.domain == h.domain && h.world.isUp(h.index, i) {
 			return true
 		}
 	}
 	return false
 }
 
-// receive takes a sending of the job.
+// receive handles a submission of the job.
 func (h *modelHost) receive(name string, answer func(ended bool)) {
 	if h.open != nil {
 		h.open.waiters[name] = answer
 		return
 	}
-	open := &modelOpen{host: h, process: h.process, waiters: map[string]func(bool){name: answer}, heard: map[hostProcess]bool{}, deadline: h.world.now + exploreDeadline}
+	open := &modelOpen{host: h, process: h.process, waiters: map[string]func(bool){name: answer}, announcedTo: map[hostProcess]bool{}, deadline: h.world.now + jobDeadline}
 	h.open = open
-	h.own.Add(exploreID, h.world.now, h.world.now+exploreDeadline)
-	h.world.after(exploreDeadline, func() {
+	h.local.Add(jobID, h.world.now, h.world.now+jobDeadline)
+	h.world.after(jobDeadline, func() {
 		if open.isOpen() {
 			open.end(false)
 		}
 	})
-	settledAt := time.Duration(0)
+	runsEndBy := time.Duration(0)
 	if h.ended != nil {
-		settledAt = h.ended.over
+		runsEndBy = h.ended.runsEndBy
 	}
-	open.search = NewSearch(exploreID, settledAt)
+	open.search = NewSearch(jobID, runsEndBy)
 	open.round()
 }
 
-// leaves takes that one who waits has left. The job ends with the last, and its runs
-// soon, or with their lease when the withdrawal is lost.
-func (h *modelHost) leaves(name string) {
+// callerLeft records that one that waits for the job has disconnected. The job ends with
+// the last of them. Its runs end soon, or with their lease if the withdrawal is lost.
+func (h *modelHost) callerLeft(name string) {
 	open := h.open
 	if open == nil || open.waiters[name] == nil {
 		return
 	}
 	delete(open.waiters, name)
 	if len(open.waiters) == 0 {
-		h.world.note("host %d gives up", h.index)
+		h.world.logf("host %d abandons the job", h.index)
 		open.end(false)
 	}
 }
 
-// start follows the job, or goes on with it. It ends well after its work, unless its runs
-// have ended before.
+// start starts the job at the front, or continues it. The job ends after jobDuration,
+// unless its runs have ended before.
 func (o *modelOpen) start() {
 	w := o.host.world
-	if o.carry != nil && o.carry.over == 0 {
-		return // it goes on already
+	if o.execution != nil && o.execution.runsEndBy == 0 {
+		return // it continues already
 	}
-	c := w.carried(o)
-	o.carry = c
-	w.after(exploreWork, func() {
-		if o.isOpen() && o.carry == c && c.over == 0 {
+	c := w.startExecution(o)
+	o.execution = c
+	w.after(jobDuration, func() {
+		if o.isOpen() && o.execution == c && c.runsEndBy == 0 {
 			o.end(true)
 		}
 	})
@@ -208,28 +208,29 @@
 
 func (o *modelOpen) isOpen() bool { return o.host.open == o && o.host.process == o.process }
 
-// handOn takes that the front was cut off from the owner of the job, and has it back in
-// sight. Runs of it have ended. It goes on, unless the job has come again elsewhere.
-func (o *modelOpen) handOn() {
+// resume handles that the front was cut off from the owner of the job and reaches it again.
+// The runs of the job have ended, so the front starts it anew, unless it has been
+// resubmitted elsewhere.
+func (o *modelOpen) resume() {
 	w := o.host.world
 	w.after(ResyncDelay, func() {
 		if !o.isOpen() {
 			return
 		}
-		o.search = NewSearch(exploreID, w.now)
+		o.search = NewSearch(jobID, w.now)
 		o.round()
 	})
 }
 
-// end ends the job here and answers all that wait.
+// end ends the job at this front and answers all that wait for it.
 func (o *modelOpen) end(isDone bool) {
 	h := o.host
 	h.open = nil
-	told := h.own.Remove(exploreID)
-	if o.carry != nil {
-		o.carry.ends(h.renewedAt(), !isDone) // the withdrawal may be lost
-		if told {
-			h.ended = o.carry
+	isAnnounced := h.local.Remove(jobID)
+	if o.execution != nil {
+		o.execution.end(h.renewedAt(), !isDone) // the withdrawal may be lost
+		if isAnnounced {
+			h.ended = o.execution
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.waiters)) {
@@ -237,23 +238,23 @@
 	}
 }
 
-// round asks for each front that may hold the job open, one after the other.
+// round asks about each front that may hold the job open, one after the other.
 func (o *modelOpen) round() {
 	if !o.isOpen() {
 		return
 	}
-	o.askFor(o.search.Round(o.host.table, o.host.world.now))
+	o.askFronts(o.search.Round(o.host.table, o.host.world.now))
 }
 
-func (o *modelOpen) askFor(entries []Entry) {
+func (o *modelOpen) askFronts(entries []Entry) {
 	h, w := o.host, o.host.world
 	if len(entries) == 0 {
 		at, mayStart := o.search.Next(h.table, w.now)
 		switch {
-		case mayStart && h.aloneAt > 0: // no owner is in sight
-			w.after(askAgain, o.round)
-		case mayStart && o.hasAsked && w.now < h.backAt+ResyncDelay:
-			w.after(h.backAt+ResyncDelay-w.now, o.round)
+		case mayStart && h.isolatedSince > 0: // no owner is reachable
+			w.after(retryInterval, o.round)
+		case mayStart && o.hasAsked && w.now < h.rejoinedAt+ResyncDelay:
+			w.after(h.rejoinedAt+ResyncDelay-w.now, o.round)
 		case mayStart:
 			o.start()
 		default:
@@ -263,40 +264,40 @@
 	}
 	o.hasAsked = true
 	entry := entries[0]
-	index := hostOf(entry.Front)
+	index := hostIndex(entry.Front)
 	var others []string
 	for i, other := range w.hosts {
 		if w.isUp(h.index, i) {
 			others = append(others, other.address())
 		}
 	}
-	o.askBy(entry, entry.Contacts(others...), nil, func(replies []Reply) {
-		o.search.HandleReplies(h.table, entry, replies, h.sightOf(entry.Front), w.isUp(h.index, index), w.now)
-		o.askFor(entries[1:])
+	o.askContacts(entry, entry.Contacts(others...), nil, func(replies []Reply) {
+		o.search.HandleReplies(h.table, entry, replies, h.vantageOn(entry.Front), w.isUp(h.index, index), w.now)
+		o.askFronts(entries[1:])
 	})
 }
 
-// sightOf returns what a host sees of a front's domain.
-func (h *modelHost) sightOf(front Front) Vantage {
-	return Vantage{SameDomain: front.Domain == h.domain && h.seesMate(h.world.hosts[hostOf(front)])}
+// vantageOn returns what a host knows of its own connection to a front's domain.
+func (h *modelHost) vantageOn(front Front) Vantage {
+	return Vantage{SameDomain: front.Domain == h.domain && h.reachesDomain(h.world.hosts[hostIndex(front)])}
 }
 
-// askBy asks one way after the other until one settles the question.
-func (o *modelOpen) askBy(entry Entry, ways []string, replies []Reply, then func([]Reply)) {
+// askContacts asks one contact after the other until one gives a final answer.
+func (o *modelOpen) askContacts(entry Entry, contacts []string, replies []Reply, then func([]Reply)) {
 	h, w := o.host, o.host.world
 	if !o.isOpen() {
 		return
 	}
-	if len(ways) == 0 {
+	if len(contacts) == 0 {
 		then(replies)
 		return
 	}
-	way := hostOf(Front{Address: ways[0]})
-	if !w.isUp(h.index, way) {
-		o.askBy(entry, ways[1:], replies, then)
+	contact := hostIndex(Front{Address: contacts[0]})
+	if !w.isUp(h.index, contact) {
+		o.askContacts(entry, contacts[1:], replies, then)
 		return
 	}
-	w.call(h, w.hosts[way], entry, h, func(reply Reply, ended bool) {
+	w.call(h, w.hosts[contact], entry, h, func(reply Reply, ended bool) {
 		reply.At = w.now
 		switch {
 		case !o.isOpen():
@@ -305,12 +306,12 @@
 		case reply.Verdict == NotOpen, reply.Verdict == Yields:
 			then(append(replies, reply))
 		default:
-			o.askBy(entry, ways[1:], append(replies, reply), then)
+			o.askContacts(entry, contacts[1:], append(replies, reply), then)
 		}
 	})
 }
 
-// call asks a host to join the job, and is answered once. It fails with the link.
+// call asks a host to join the job. answer is called once, also when the link goes down.
 func (w *world) call(from, to *modelHost, entry Entry, asker *modelHost, answer func(reply Reply, ended bool)) {
 	isAnswered := false
 	once := func(reply Reply, ended bool) {
@@ -342,34 +343,34 @@
 // join answers a front that asks to wait for the job.
 func (h *modelHost) join(entry Entry, asker *modelHost, answer func(reply Reply, ended bool)) {
 	w := h.world
-	index := hostOf(entry.Front)
+	index := hostIndex(entry.Front)
 	if index != h.index {
-		h.passJoin(entry, w.hosts[index], asker, answer)
+		h.relayJoin(entry, w.hosts[index], asker, answer)
 		return
 	}
-	overAt := w.now
+	runsEndBy := w.now
 	if h.ended != nil {
-		overAt = max(overAt, h.ended.over)
+		runsEndBy = max(runsEndBy, h.ended.runsEndBy)
 	}
 	switch open := h.open; {
 	case entry.Front.Process != fmt.Sprint(h.process):
-		answer(Reply{Verdict: NotOpen, RunsEndBy: w.now + settle}, false)
+		answer(Reply{Verdict: NotOpen, RunsEndBy: w.now + runTimeout}, false)
 	case open == nil:
-		answer(Reply{Verdict: NotOpen, RunsEndBy: overAt}, false)
-	case open.carry != nil:
+		answer(Reply{Verdict: NotOpen, RunsEndBy: runsEndBy}, false)
+	case open.execution != nil:
 		open.waiters[fmt.Sprint("host ", asker.index)] = func(ended bool) {
 			answer(Reply{Verdict: Busy}, ended)
 		}
 	case open.search.ShouldYield(h.table, asker.front(), h.address(), asker.follows(), w.now):
-		answer(Reply{Verdict: Yields, RunsEndBy: overAt}, false)
+		answer(Reply{Verdict: Yields, RunsEndBy: runsEndBy}, false)
 	default:
 		answer(Reply{Verdict: Busy}, false)
 	}
 }
 
-func (h *modelHost) follows() bool { return h.open != nil && h.open.carry != nil }
+func (h *modelHost) follows() bool { return h.open != nil && h.open.execution != nil }
 
-func (h *modelHost) passJoin(entry Entry, front, asker *modelHost, answer func(reply Reply, ended bool)) {
+func (h *modelHost) relayJoin(entry Entry, front, asker *modelHost, answer func(reply Reply, ended bool)) {
 	w := h.world
 	if w.isUp(h.index, front.index) {
 		w.call(h, front, entry, asker, func(reply Reply, ended bool) {
@@ -380,8 +381,8 @@
 		})
 		return
 	}
-	for _, known := range h.table.Find(exploreID, w.now) {
-		if known.Front == entry.Front && h.sightOf(entry.Front).SameDomain {
+	for _, known := range h.table.Find(jobID, w.now) {
+		if known.Front == entry.Front && h.vantageOn(entry.Front).SameDomain {
 			answer(Reply{Verdict: Unreachable, RunsEndBy: h.table.RunsEndBy(known, w.now)}, false)
 			return
 		}
--- a/pkg/openjobs/explore_world_test.go
+++ b/pkg/openjobs/explore_world_test.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	exploreTime = 16 * time.Second
-	exploreWork = 4 * time.Second // of the job, from its start on
-	// exploreDeadline is the job's, from each receipt on.
-	exploreDeadline = 2 * exploreWork
-	silenceLimit    = 600 * ms // a host that can't be heard is lost then, and
-	silenceLook     = 150 * ms // so much later at most
-	processes       = 3        // of a host: it dies twice at most
-	readyAfter      = 500 * ms // after its start a host gets callers, no sooner than the balancer's checks
-	newsTakes       = 100 * ms // by way of another host
+	simulatedTime = 16 * time.Second
+	jobDuration   = 4 * time.Second // from the start of the job
+	// jobDeadline is counted from each receipt of the job.
+	jobDeadline            = 2 * jobDuration
+	heartbeatTimeout       = 600 * ms // after which a link without heartbeat is dropped
+	heartbeatCheckInterval = 150 * ms // by which that may be noticed later
+	maxProcesses           = 3        // of a host: it crashes twice at most
+	minCallerDelay         = 500 * ms // from the start of a host to its first caller, as with the balancer's checks
+	announcementDelay      = 100 * ms // through another host
 )
 
-// world is a play of one job: hosts of two domains, links between some of them that
-// are cut and mended, hosts that die, and a caller that sends the job again and again.
+// world is a simulation of one job: hosts of two domains, links between some of them that
+// are cut and restored, hosts that crash, and a caller that resubmits the job again and
+// again.
 type world struct {
 	random *rand.Rand
 	now    time.Duration
@@ -29,13 +30,13 @@
 	hosts  []*modelHost
 	cuts   map[[2]int]int
 	cut    map[[2]int]bool // pairs between which nothing passes
-	down   map[[2]int]bool // pairs whose link is down, as both see it
+	down   map[[2]int]bool // pairs whose link is down, as seen by both
 
-	carries  []*carry
-	sendings int
-	unheard  int // times that a front started beside one of whose job it couldn't have heard
-	story    []string
-	doubled  bool
+	executions  []*execution
+	submissions int
+	unannounced int // starts beside a front whose announcement could not have arrived
+	events      []string
+	ranTwice    bool
 }
 
 type event struct {
@@ -43,39 +44,39 @@
 	do func()
 }
 
-// modelHost is a front. A process that has died knows nothing any more.
+// modelHost is a front. A process that has crashed loses all state.
 type modelHost struct {
-	world   *world
-	index   int
-	domain  string
-	process int
-	dead    bool
-	startAt time.Duration
-	aloneAt time.Duration // since when it is cut off from its domain, where the owners of its jobs are; 0 when it isn't
-	backAt  time.Duration // when it was last so
-
-	own   *LocalJobs
+	world         *world
+	index         int
+	domain        string
+	process       int
+	dead          bool
+	startedAt     time.Duration
+	isolatedSince time.Duration // when it was cut off from its domain, where the owners of its jobs are; 0 when it isn't
+	rejoinedAt    time.Duration // when it was last reconnected to its domain
+
+	local *LocalJobs
 	table *Table
 	open  *modelOpen
-	ended *carry // the last job that others were told of
+	ended *execution // of the last job that was announced
 }
 
-// carry is a job that a front follows. Its runs may be alive until over.
-type carry struct {
-	open  *modelOpen
-	began time.Duration
-	over  time.Duration // 0 while it is followed
+// execution is the job as started by a front. Its runs may be alive until runsEndBy.
+type execution struct {
+	open      *modelOpen
+	startedAt time.Duration
+	runsEndBy time.Duration // 0 while the front follows the job
 }
 
-// ends takes that a job isn't followed any more. Where nobody can tell its owner, runs go
-// on until their leases end.
-func (c *carry) ends(now time.Duration, untold bool) {
-	over := now
-	if untold {
-		over += settle
+// end records that the front no longer follows the job. If its owner could not be notified,
+// runs go on until their leases expire.
+func (e *execution) end(now time.Duration, isUnconfirmed bool) {
+	runsEndBy := now
+	if isUnconfirmed {
+		runsEndBy += runTimeout
 	}
-	if c.over == 0 || over < c.over {
-		c.over = over
+	if e.runsEndBy == 0 || runsEndBy < e.runsEndBy {
+		e.runsEndBy = runsEndBy
 	}
 }
 
@@ -85,28 +86,28 @@
 
 // modelOpen is a job that a host holds open.
 type modelOpen struct {
-	deadline time.Duration
-	host     *modelHost
-	process  int
-	carry    *carry // nil while it waits for another front
-	search   *Search
-	waiters  map[string]func(ended bool)
-	hasAsked bool                 // another front
-	heard    map[hostProcess]bool // those that its news must have reached, or has
+	deadline    time.Duration
+	host        *modelHost
+	process     int
+	execution   *execution // nil while it waits for another front
+	search      *Search
+	waiters     map[string]func(ended bool)
+	hasAsked    bool                 // another front
+	announcedTo map[hostProcess]bool // processes that an announcement of it must have reached, or has
 }
 
 func newWorld(seed uint64) *world {
 	w := &world{random: rand.New(rand.NewPCG(seed, 0)), cuts: map[[2]int]int{}, cut: map[[2]int]bool{}, down: map[[2]int]bool{}}
 	for i := range 6 {
 		h := &modelHost{world: w, index: i, domain: fmt.Sprint("z", i/3)}
-		h.begin()
+		h.startProcess()
 		w.hosts = append(w.hosts, h)
 	}
 	return w
 }
 
-func (w *world) note(format string, arguments ...any) {
-	w.story = append(w.story, fmt.Sprintf("%6d ", w.now.Milliseconds())+fmt.Sprintf(format, arguments...))
+func (w *world) logf(format string, arguments ...any) {
+	w.events = append(w.events, fmt.Sprintf("%6d ", w.now.Milliseconds())+fmt.Sprintf(format, arguments...))
 }
 
 func (w *world) after(d time.Duration, do func()) {
@@ -123,7 +124,7 @@
 		}
 		e := w.queue[next]
 		w.queue = slices.Delete(w.queue, next, next+1)
-		if e.at > exploreTime {
+		if e.at > simulatedTime {
 			continue
 		}
 		w.now = e.at
@@ -137,15 +138,15 @@
 
 func pair(a, b int) [2]int { return [2]int{min(a, b), max(a, b)} }
 
-// linked reports whether two hosts hold links: those of a domain all do, and each does
-// to two of the other one, so that news for the third one has to be passed on.
+// linked reports whether two hosts hold links. All hosts of a domain do, and each host does
+// to two of the other domain, so that announcements to the third have to be relayed.
 func linked(a, b int) bool {
 	return a != b && (a/3 == b/3 || (a+b)%3 != 0)
 }
 
-// passes reports whether news gets from one host to another now: by their own link, or
-// by a host of the other's domain, unless that is the first one's too.
-func (w *world) passes(a, b int) bool {
+// reaches reports whether an announcement gets from one host to another now: by their own
+// link, or through a host of the other's domain, unless that is the first one's too.
+func (w *world) reaches(a, b int) bool {
 	direct := func(a, b int) bool {
 		return a == b || w.isUp(a, b) && !w.cut[pair(a, b)] && !w.hosts[b].dead
 	}
@@ -162,15 +163,15 @@
 	return linked(a, b) && !w.down[pair(a, b)] && !w.hosts[a].dead
 }
 
-// send carries a message to another process. In a cut it waits, as it does over TCP,
-// and is lost once the link is given up.
+// send delivers a message to another process. During a cut the message is delayed, as with
+// TCP, and it is lost when the link goes down.
 func (w *world) send(from, to int, deliver func()) {
 	process := w.hosts[to].process
 	w.deliver(from, to, process, w.between(ms, 40*ms), deliver)
 }
 
-func (w *world) deliver(from, to, process int, takes time.Duration, do func()) {
-	w.after(takes, func() {
+func (w *world) deliver(from, to, process int, delay time.Duration, do func()) {
+	w.after(delay, func() {
 		if w.down[pair(from, to)] || w.hosts[to].dead || w.hosts[to].process != process {
 			return
 		}
@@ -182,8 +183,8 @@
 	})
 }
 
-// setCut cuts a pair or mends it, once for each cut that covers it. The link is given up
-// after a silence, and comes back after the last cut.
+// setCut cuts or restores a pair, which remains cut while any cut covers it. The link goes
+// down after the heartbeat timeout, and comes up after the last cut.
 func (w *world) setCut(a, b int, cut bool) {
 	p := pair(a, b)
 	if !linked(a, b) {
@@ -198,12 +199,12 @@
 		return
 	}
 	w.cut[p] = cut
-	w.hosts[a].lookAround()
-	w.hosts[b].lookAround()
+	w.hosts[a].updateIsolation()
+	w.hosts[b].updateIsolation()
 	if cut {
-		w.after(silenceLimit+w.between(0, silenceLook), func() {
+		w.after(heartbeatTimeout+w.between(0, heartbeatCheckInterval), func() {
 			if w.cut[p] {
-				w.lose(a, b)
+				w.dropLink(a, b)
 			}
 		})
 		return
@@ -211,37 +212,37 @@
 	w.after(w.between(10*ms, 300*ms), func() { w.connect(a, b) })
 }
 
-// lookAround notes whether the host is cut off from its domain. Then it can't renew the
-// leases of its job, which goes on only once the host is back.
-func (h *modelHost) lookAround() {
+// updateIsolation updates whether the host is cut off from its domain. While it is, it
+// can't renew the leases of its job, which continues only once the host is reconnected.
+func (h *modelHost) updateIsolation() {
 	w := h.world
-	isAlone := true
+	isIsolated := true
 	for i, other := range w.hosts {
-		isAlone = isAlone && (i == h.index || other.domain != h.domain || w.cut[pair(h.index, i)])
+		isIsolated = isIsolated && (i == h.index || other.domain != h.domain || w.cut[pair(h.index, i)])
 	}
 	switch {
-	case isAlone && h.aloneAt == 0:
-		h.aloneAt = w.now
-	case !isAlone && h.aloneAt > 0:
-		since := h.aloneAt
-		h.aloneAt, h.backAt = 0, w.now
-		if open := h.open; open != nil && open.carry != nil && w.now > since+silenceLimit {
-			open.carry.ends(since, true)
-			open.handOn()
+	case isIsolated && h.isolatedSince == 0:
+		h.isolatedSince = w.now
+	case !isIsolated && h.isolatedSince > 0:
+		since := h.isolatedSince
+		h.isolatedSince, h.rejoinedAt = 0, w.now
+		if open := h.open; open != nil && open.execution != nil && w.now > since+heartbeatTimeout {
+			open.execution.end(since, true)
+			open.resume()
 		}
 	}
 }
 
-// renewedAt returns when the host renewed leases last.
+// renewedAt returns when the host last renewed leases.
 func (h *modelHost) renewedAt() time.Duration {
-	if h.aloneAt > 0 {
-		return h.aloneAt
+	if h.isolatedSince > 0 {
+		return h.isolatedSince
 	}
 	return h.world.now
 }
 
-// lose gives a link up, at both ends.
-func (w *world) lose(a, b int) {
+// dropLink takes a link down at both ends.
+func (w *world) dropLink(a, b int) {
 	if w.down[pair(a, b)] {
 		return
 	}
@@ -260,10 +261,11 @@
 	w.hosts[b].linkUp(w.hosts[a])
 }
 
-// trouble brings a fault now and then: a cut between two hosts of different domains, around
-// a host, or between the domains; a host that dies, seen at once or by its silence.
-func (w *world) trouble() {
-	w.after(w.between(300*ms, 2500*ms), w.trouble)
+// injectFault causes a fault from time to time: a cut between two hosts of different
+// domains, around a host, or between the domains; or a host that crashes, detected at once
+// or by missing heartbeats.
+func (w *world) injectFault() {
+	w.after(w.between(300*ms, 2500*ms), w.injectFault)
 	var pairs [][2]int
 	a, b := w.random.IntN(6), w.random.IntN(6)
 	switch w.random.IntN(5) {
@@ -281,26 +283,26 @@
 		w.kill(w.hosts[a], w.random.IntN(2) == 0)
 		return
 	}
-	w.note("cut %v", pairs)
+	w.logf("cut %v", pairs)
 	for _, p := range pairs {
 		w.setCut(p[0], p[1], true)
 	}
 	w.after(w.between(100*ms, 4*time.Second), func() {
-		w.note("mend %v", pairs)
+		w.logf("restore %v", pairs)
 		for _, p := range pairs {
 			w.setCut(p[0], p[1], false)
 		}
 	})
 }
 
-func (w *world) kill(h *modelHost, isSilent bool) {
-	if h.dead || h.process == processes {
+func (w *world) kill(h *modelHost, isUndetected bool) {
+	if h.dead || h.process == maxProcesses {
 		return
 	}
-	w.note("host %d dies", h.index)
+	w.logf("host %d crashes", h.index)
 	h.dead = true
-	if h.open != nil && h.open.carry != nil {
-		h.open.carry.ends(h.renewedAt(), true)
+	if h.open != nil && h.open.execution != nil {
+		h.open.execution.end(h.renewedAt(), true)
 	}
 	h.open = nil
 	for i := range w.hosts {
@@ -308,14 +310,14 @@
 			continue
 		}
 		notice := w.between(0, 20*ms)
-		if isSilent {
-			notice = silenceLimit + w.between(0, silenceLook)
+		if isUndetected {
+			notice = heartbeatTimeout + w.between(0, heartbeatCheckInterval)
 		}
-		w.after(notice, func() { w.lose(h.index, i) })
+		w.after(notice, func() { w.dropLink(h.index, i) })
 	}
 	w.after(w.between(900*ms, 3*time.Second), func() {
-		h.begin()
-		w.note("host %d starts", h.index)
+		h.startProcess()
+		w.logf("host %d starts", h.index)
 		for i := range w.hosts {
 			if linked(h.index, i) {
 				w.after(w.between(0, 100*ms), func() { w.connect(h.index, i) })
@@ -324,46 +326,46 @@
 	})
 }
 
-// carried takes that a front starts to follow the job, and checks that no run of
-// another one may be alive of whose job it can have heard.
-func (w *world) carried(o *modelOpen) *carry {
-	for _, c := range w.carries {
-		alone := c.open.host.aloneAt
-		switch isAlive := c.open != o && (c.over == 0 && alone == 0 || c.over == 0 && w.now < max(c.began, alone)+settle || w.now < c.over); {
-		case isAlive && c.open.heard[o.host.key()]:
-			w.doubled = true
-			w.note("host %d starts beside host %d, which began at %s and is over at %s", o.host.index, c.open.host.index, c.began, c.over)
+// startExecution records that a front starts the job, and checks that no run may be alive
+// of another front's whose announcement can have reached it.
+func (w *world) startExecution(o *modelOpen) *execution {
+	for _, c := range w.executions {
+		isolated := c.open.host.isolatedSince
+		switch isAlive := c.open != o && (c.runsEndBy == 0 && isolated == 0 || c.runsEndBy == 0 && w.now < max(c.startedAt, isolated)+runTimeout || w.now < c.runsEndBy); {
+		case isAlive && c.open.announcedTo[o.host.key()]:
+			w.ranTwice = true
+			w.logf("host %d starts the job beside host %d, which started it at %s and whose runs end by %s", o.host.index, c.open.host.index, c.startedAt, c.runsEndBy)
 		case isAlive:
-			w.unheard++
+			w.unannounced++
 		}
 	}
-	c := &carry{open: o, began: w.now}
-	w.carries = append(w.carries, c)
-	w.note("host %d carries", o.host.index)
+	c := &execution{open: o, startedAt: w.now}
+	w.executions = append(w.executions, c)
+	w.logf("host %d starts the job", o.host.index)
 	return c
 }
 
-// submit has the caller send the job, and send it again some time after its connection
-// has broken. Often the front doesn't hear of that.
+// submit has the caller submit the job, and resubmit it some time after its connection has
+// broken. Often the front doesn't detect the break.
 func (w *world) submit() {
 	h := w.hosts[w.random.IntN(len(w.hosts))]
-	if h.dead || w.now < h.startAt+readyAfter || w.sendings > 5 {
+	if h.dead || w.now < h.startedAt+minCallerDelay || w.submissions > 5 {
 		w.after(resubmit, w.submit)
 		return
 	}
-	w.sendings++
-	name := fmt.Sprint("caller ", w.sendings)
-	w.note("%s sends to host %d", name, h.index)
+	w.submissions++
+	name := fmt.Sprint("caller ", w.submissions)
+	w.logf("%s submits to host %d", name, h.index)
 	process, isOpen := h.process, true
 	breaks := func() {
 		if !isOpen {
 			return
 		}
 		isOpen = false
-		w.note("%s breaks", name)
+		w.logf("connection of %s breaks", name)
 		w.after(resubmit, w.submit)
 		if w.random.IntN(3) == 0 && h.process == process && !h.dead {
-			h.leaves(name)
+			h.callerLeft(name)
 		}
 	}
 	h.receive(name, func(ended bool) {
@@ -374,4 +376,4 @@
 	w.after(w.between(0, 3*time.Second), breaks)
 }
 
-func (w *world) String() string { return strings.Join(w.story, "\n") }
+func (w *world) String() string { return strings.Join(w.events, "\n") }
--- a/pkg/openjobs/local_jobs.go
+++ b/pkg/openjobs/local_jobs.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// LocalJobs are the jobs that a front holds open itself and may have to tell of. It is
-// not safe for concurrent use.
+// LocalJobs holds the jobs that this front holds open itself and may have to announce. It
+// is not safe for concurrent use.
 type LocalJobs struct {
 	resubmitAfter time.Duration
-	settle        time.Duration // how long after its deadline runs of a job may go on
-	open          map[string]*ownJob
-	untold        byReceipt
-	lastBatch     time.Duration // when the last one was told
+	runTimeout    time.Duration // how long runs of a job may outlive its deadline
+	open          map[string]*localJob
+	unannounced   byReceipt
+	lastBatch     time.Duration // time of the last batch
 }
 
-type ownJob struct {
-	id       string
-	received time.Duration
-	deadline time.Duration
-	isClosed bool
-	isTold   bool
+type localJob struct {
+	id          string
+	received    time.Duration
+	deadline    time.Duration
+	isClosed    bool
+	isAnnounced bool
 }
 
-// byReceipt is a heap of jobs, the oldest first: a look at thousands of young ones costs nothing.
-type byReceipt []*ownJob
+// byReceipt is a heap of jobs, the oldest first, so that a scan does not visit jobs that
+// are too young to announce.
+type byReceipt []*localJob
 
 // Len implements heap.Interface.
 func (q byReceipt) Len() int { return len(q) }
@@ -38,7 +39,7 @@
 func (q byReceipt) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (q *byReceipt) Push(x any) { *q = append(*q, x.(*ownJob)) }
+func (q *byReceipt) Push(x any) { *q = append(*q, x.(*localJob)) }
 
 // Pop implements heap.Interface.
 func (q *byReceipt) Pop() any {
@@ -49,72 +50,73 @@
 	return j
 }
 
-// NewLocalJobs makes it for a time after which callers send again, and one that runs of
-// a job may outlive its front's wait.
-func NewLocalJobs(resubmitAfter, settle time.Duration) *LocalJobs {
-	return &LocalJobs{resubmitAfter: resubmitAfter, settle: settle, open: map[string]*ownJob{}}
+// NewLocalJobs returns an empty LocalJobs. resubmitAfter is the time after which callers
+// resubmit a job, and runTimeout the time that runs of a job may outlive its deadline.
+func NewLocalJobs(resubmitAfter, runTimeout time.Duration) *LocalJobs {
+	return &LocalJobs{resubmitAfter: resubmitAfter, runTimeout: runTimeout, open: map[string]*localJob{}}
 }
 
-// Add takes that this front holds a job open from now on. One that ends before
-// it could come again is never told.
-func (o *LocalJobs) Add(id string, received, deadline time.Duration) {
-	if deadline <= received+o.resubmitAfter {
+// Add records that this front holds a job open from now on. A job that ends before it can
+// be resubmitted is never announced.
+func (l *LocalJobs) Add(id string, received, deadline time.Duration) {
+	if deadline <= received+l.resubmitAfter {
 		return
 	}
-	o.Remove(id)
-	j := &ownJob{id: id, received: received, deadline: deadline}
-	o.open[id] = j
-	heap.Push(&o.untold, j)
+	l.Remove(id)
+	j := &localJob{id: id, received: received, deadline: deadline}
+	l.open[id] = j
+	heap.Push(&l.unannounced, j)
 }
 
-// Remove takes that a job has ended here, and reports whether it had been told.
-func (o *LocalJobs) Remove(id string) bool {
-	j := o.open[id]
+// Remove records that a job has ended here, and reports whether it had been announced.
+func (l *LocalJobs) Remove(id string) bool {
+	j := l.open[id]
 	if j == nil {
 		return false
 	}
 	j.isClosed = true
-	delete(o.open, id)
-	return j.isTold
+	delete(l.open, id)
+	return j.isAnnounced
 }
 
-// NextBatch returns the jobs to tell of now, sorted by id. It is empty when there is
-// no news, or when the last batch was a moment ago.
-func (o *LocalJobs) NextBatch(now time.Duration) []Announcement {
-	if o.lastBatch > 0 && now < o.lastBatch+tellPause {
+// NextBatch returns the jobs to announce now, sorted by id. It is empty when there are
+// none, or when the last batch was less than minBatchInterval ago.
+func (l *LocalJobs) NextBatch(now time.Duration) []Announcement {
+	if l.lastBatch > 0 && now < l.lastBatch+minBatchInterval {
 		return nil
 	}
-	age := AnnounceAfter(o.resubmitAfter)
+	age := AnnounceAfter(l.resubmitAfter)
 	var batch []Announcement
-	for len(o.untold) > 0 && now >= o.untold[0].received+age {
-		j := heap.Pop(&o.untold).(*ownJob)
+	for len(l.unannounced) > 0 && now >= l.unannounced[0].received+age {
+		j := heap.Pop(&l.unannounced).(*localJob)
 		if !j.isClosed {
-			j.isTold = true
-			batch = append(batch, o.toldOf(j, now))
+			j.isAnnounced = true
+			batch = append(batch, l.announcementOf(j, now))
 		}
 	}
 	if len(batch) > 0 {
-		o.lastBatch = now
+		l.lastBatch = now
 	}
 	return sorted(batch)
 }
 
-// Announced returns all that has been told, for a host that may not have heard it.
-func (o *LocalJobs) Announced(now time.Duration) []Announcement {
+// Announced returns all jobs that have been announced, for a host that may have missed
+// that.
+func (l *LocalJobs) Announced(now time.Duration) []Announcement {
 	var all []Announcement
-	for _, j := range o.open {
-		if j.isTold {
-			all = append(all, o.toldOf(j, now))
+	for _, j := range l.open {
+		if j.isAnnounced {
+			all = append(all, l.announcementOf(j, now))
 		}
 	}
 	return sorted(all)
 }
 
-func (o *LocalJobs) toldOf(j *ownJob, now time.Duration) Announcement {
-	return Announcement{ID: j.id, Remaining: max(0, j.deadline-now) + o.settle}
+func (l *LocalJobs) announcementOf(j *localJob, now time.Duration) Announcement {
+	return Announcement{ID: j.id, Remaining: max(0, j.deadline-now) + l.runTimeout}
 }
 
-func sorted(told []Announcement) []Announcement {
-	slices.SortFunc(told, func(a, b Announcement) int { return strings.Compare(a.ID, b.ID) })
-	return told
+func sorted(announcements []Announcement) []Announcement {
+	slices.SortFunc(announcements, func(a, b Announcement) int { return strings.Compare(a.ID, b.ID) })
+	return announcements
 }
--- a/pkg/openjobs/openjobs.go
+++ b/pkg/openjobs/openjobs.go
@@ -1,57 +1,56 @@
-// Package openjobs decides what fronts tell each other of the jobs that they hold
-// open, and what becomes of a job that a caller sends to another front meanwhile.
+// Package openjobs decides what fronts announce to each other about the jobs that they hold
+// open, and what happens to a job that its caller resubmits to another front.
 //
-// A front can't always tell that a caller has left: what the caller's side said of
-// it may be lost in a cut, and a relay between them goes on acknowledging. So the
-// front goes on vouching for a caller that has sent the job again elsewhere by then,
-// and tasks would run twice at once. A job that comes again joins the one that is
-// open, so it needs to be known elsewhere before it can come again.
+// A front can't always detect that a caller has disconnected: the close may be lost in a
+// network cut, and a relay between them may go on acknowledging. Such a front keeps
+// renewing the leases of a job that the caller has resubmitted elsewhere, and its tasks
+// would run twice at once. To prevent this, a resubmitted job joins the one that is open.
+// So fronts have to know of each other's open jobs before these can be resubmitted.
 //
 // The package does no I/O and takes the time as an argument.
 package openjobs
 
 import "time"
 
-// A job comes again some time after the break of its first sending, which comes
-// after that was sent. Its news has to be everywhere by then:
+// A caller resubmits a job some time after the connection of the first submission broke.
+// The announcement of the job has to have reached all hosts by then:
 //
-//	AnnounceAfter + ScanInterval + tellPause + 2 x newsTransit + receiptLag = resubmission
-//
-// The table test works the sum out. The lag is what is left for a first sending
-// that its front received late.
+//	AnnounceAfter + ScanInterval + minBatchInterval + 2 x transitTime + maxReceiptDelay = resubmission
 const (
-	// ScanInterval is how often a front looks for jobs to tell of, at most.
+	// ScanInterval is the longest time between two scans for jobs to announce.
 	ScanInterval = 100 * time.Millisecond
-	// tellPause is the least time between two batches: a batch costs a message to each
-	// host, whatever is in it.
-	tellPause = 200 * time.Millisecond
-	// newsTransit is one way between two hosts, with as much again for a process
-	// that is busy. News takes two: hosts of another domain pass it on.
-	newsTransit = 50 * time.Millisecond
-	// receiptLag is how late a front may receive a first sending.
-	receiptLag = 100 * time.Millisecond
-	// tellMargin is what all of it takes.
-	tellMargin = ScanInterval + tellPause + 2*newsTransit + receiptLag
+	// minBatchInterval is the shortest time between two batches. A batch costs one message
+	// to each host, regardless of its size.
+	minBatchInterval = 200 * time.Millisecond
+	// transitTime is the time of a message between two hosts, with as much again for a
+	// process that is busy. An announcement takes two messages: hosts of another domain
+	// relay it.
+	transitTime = 50 * time.Millisecond
+	// maxReceiptDelay is how late a front may receive the first submission.
+	maxReceiptDelay = 100 * time.Millisecond
+	// announceMargin is how long before a possible resubmission a job is announced.
+	announceMargin = ScanInterval + minBatchInterval + 2*transitTime + maxReceiptDelay
 )
 
-// ResyncDelay is how long a front that was out of sight, or stood still, waits before it
-// hands on a job that may have come again meanwhile: until the others have dialled it
-// again, 0.3 s apart with a quarter of jitter, and told it what they hold open.
+// ResyncDelay is how long a front that was unreachable or suspended waits before it hands
+// a job to an owner that may have been resubmitted meanwhile. By then the other hosts have
+// reconnected, which they attempt every 0.3 s with a jitter of a quarter, and have
+// announced their open jobs.
 const ResyncDelay = 450 * time.Millisecond
 
-// AnnounceAfter returns how old a job has to be before its front tells of it: most
-// jobs have ended by then, and cost nothing.
+// AnnounceAfter returns the age at which a front announces a job. Most jobs end before
+// that, and cause no messages.
 func AnnounceAfter(resubmitAfter time.Duration) time.Duration {
-	return max(0, resubmitAfter-tellMargin)
+	return max(0, resubmitAfter-announceMargin)
 }
 
-// Announcement is what a front tells of a job.
+// Announcement is what a front announces about a job that it holds open.
 type Announcement struct {
 	ID        string
-	Remaining time.Duration // until no run of it can be alive any more
+	Remaining time.Duration // until no run of the job can be alive
 }
 
-// Vantage is what a host sees of a front's domain.
+// Vantage is what a host knows of its own connection to a front's domain.
 type Vantage struct {
-	SameDomain bool // it is of that domain itself, and sees others of it than the front, so that it isn't cut off
+	SameDomain bool // the host is of that domain, and reaches other hosts of it than the front, so that it isn't cut off
 }
--- a/pkg/openjobs/table.go
+++ b/pkg/openjobs/table.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// mostEntries bounds the table: 30 MB of it at some 450 bytes each. Jobs that
-	// are older than AnnounceAfter are few; those beyond are not noted, and could run
-	// twice at once as if nobody had told of them.
-	mostEntries = 1 << 16
-	// sweepInterval is how often entries that are over are taken out.
+	// maxEntries bounds the memory of the table. Only jobs older than AnnounceAfter are
+	// announced, so few tables come close to it. Jobs beyond it are not recorded, and may
+	// run twice at once after a resubmission.
+	maxEntries = 1 << 16
+	// sweepInterval is how often expired entries are removed.
 	sweepInterval = time.Second
 )
 
@@ -23,46 +23,47 @@
 	Process string // its incarnation, as bytes
 }
 
-// Entry is a job that another front holds open, as far as is known here.
+// Entry is a job that another front holds open, as far as this host knows.
 type Entry struct {
 	ID        string
 	Front     Front
-	ExpiresAt time.Duration // no run of it can be alive then
-	closed    bool          // the front holds it open no more
-	passOn    bool          // other hosts of this domain hear of it from this one
-	tellers   []string      // hosts that told of it, the front among them when it did
+	ExpiresAt time.Duration // no run of the job can be alive then
+	closed    bool          // the front no longer holds the job open
+	relay     bool          // this host relays announcements of it within its domain
+	reporters []string      // hosts that announced it, the front among them if it did
 }
 
-// Table are the jobs that other fronts hold open. It is not safe for concurrent use.
+// Table holds the jobs that other fronts hold open. It is not safe for concurrent use.
 type Table struct {
-	settle time.Duration
-	byID   map[string][]*Entry
-	count  int
-	swept  time.Duration
-	lost   map[string]time.Duration // when links to hosts were lost, by address
+	runTimeout time.Duration
+	byID       map[string][]*Entry
+	count      int
+	sweptAt    time.Duration
+	lostAt     map[string]time.Duration // by address: when the link to a host went down
 }
 
-// NewTable makes an empty table. settle is how long runs of a job may go on that
-// nobody vouches for any more.
-func NewTable(settle time.Duration) *Table {
-	return &Table{settle: settle, byID: map[string][]*Entry{}, lost: map[string]time.Duration{}}
+// NewTable returns an empty table. runTimeout is the time after which a run whose lease
+// isn't renewed can't be alive.
+func NewTable(runTimeout time.Duration) *Table {
+	return &Table{runTimeout: runTimeout, byID: map[string][]*Entry{}, lostAt: map[string]time.Duration{}}
 }
 
-// Record takes what a host told of the jobs of a front, and returns how many found no room.
-func (t *Table) Record(front Front, teller string, jobs []Announcement, passOn bool, now time.Duration) (dropped int) {
+// Record adds the jobs of a front that a host announced, and returns how many were dropped
+// because the table is full.
+func (t *Table) Record(front Front, reporter string, jobs []Announcement, relay bool, now time.Duration) (dropped int) {
 	t.sweep(now)
 	for _, job := range jobs {
-		if !t.note(front, teller, job, passOn, now) {
+		if !t.recordJob(front, reporter, job, relay, now) {
 			dropped++
 		}
 	}
 	return dropped
 }
 
-func (t *Table) note(front Front, teller string, job Announcement, passOn bool, now time.Duration) bool {
+func (t *Table) recordJob(front Front, reporter string, job Announcement, relay bool, now time.Duration) bool {
 	e := t.entry(job.ID, front)
 	if e == nil {
-		if t.count >= mostEntries {
+		if t.count >= maxEntries {
 			return false
 		}
 		e = &Entry{ID: job.ID, Front: front}
@@ -73,9 +74,9 @@
 		e.closed, e.ExpiresAt = false, 0
 	}
 	e.ExpiresAt = max(e.ExpiresAt, now+job.Remaining)
-	e.passOn = e.passOn || passOn
-	if !slices.Contains(e.tellers, teller) {
-		e.tellers = append(e.tellers, teller)
+	e.relay = e.relay || relay
+	if !slices.Contains(e.reporters, reporter) {
+		e.reporters = append(e.reporters, reporter)
 	}
 	return true
 }
@@ -89,8 +90,8 @@
 	return nil
 }
 
-// Find returns the fronts that hold a job open, or whose runs of it may be alive, sorted
-// by address.
+// Find returns the entries of fronts that hold a job open, or whose runs of it may be
+// alive, sorted by address.
 func (t *Table) Find(id string, now time.Duration) []Entry {
 	var found []Entry
 	for _, e := range t.byID[id] {
@@ -104,39 +105,39 @@
 	return found
 }
 
-// prolong keeps an entry for a while of a front that has shown that it lives and has the
-// job open: it may have come there once more since the front last told of it.
-func (t *Table) prolong(id string, front Front, now time.Duration) {
+// extend keeps the entry of a front that has shown that it is alive and holds the job open:
+// the caller may have resubmitted the job there after the front's last announcement.
+func (t *Table) extend(id string, front Front, now time.Duration) {
 	if e := t.entry(id, front); e != nil {
-		e.ExpiresAt = max(e.ExpiresAt, now+t.settle)
+		e.ExpiresAt = max(e.ExpiresAt, now+t.runTimeout)
 	}
 }
 
-// MarkClosed takes that a front doesn't hold a job open, and that no run of it can be alive
-// at a time.
-func (t *Table) MarkClosed(id string, front Front, overAt, now time.Duration) {
-	if e := t.entry(id, front); e != nil && now < overAt {
+// MarkClosed records that a front does not hold a job open, and that no run of the job can
+// be alive at runsEndBy.
+func (t *Table) MarkClosed(id string, front Front, runsEndBy, now time.Duration) {
+	if e := t.entry(id, front); e != nil && now < runsEndBy {
 		e.closed = true
-		e.ExpiresAt = overAt
+		e.ExpiresAt = runsEndBy
 		return
 	}
-	t.keep(id, func(e *Entry) bool { return e.Front != front })
+	t.retain(id, func(e *Entry) bool { return e.Front != front })
 }
 
-// sweep takes out what is over.
+// sweep removes expired entries and losses.
 func (t *Table) sweep(now time.Duration) {
-	if now < t.swept+sweepInterval {
+	if now < t.sweptAt+sweepInterval {
 		return
 	}
-	t.swept = now
+	t.sweptAt = now
 	for id := range t.byID {
-		t.keep(id, func(e *Entry) bool { return now < e.ExpiresAt })
+		t.retain(id, func(e *Entry) bool { return now < e.ExpiresAt })
 	}
-	maps.DeleteFunc(t.lost, func(_ string, at time.Duration) bool { return now >= at+lostLife })
+	maps.DeleteFunc(t.lostAt, func(_ string, at time.Duration) bool { return now >= at+lossRetention })
 }
 
-// keep keeps the entries of a job that are wanted.
-func (t *Table) keep(id string, wanted func(e *Entry) bool) {
+// retain removes the entries of a job that are not wanted.
+func (t *Table) retain(id string, wanted func(e *Entry) bool) {
 	before := len(t.byID[id])
 	kept := slices.DeleteFunc(t.byID[id], func(e *Entry) bool { return !wanted(e) })
 	t.count -= before - len(kept)
@@ -146,67 +147,68 @@
 	}
 }
 
-// lostLife is how long the loss of a link is remembered. No entry of a job is of
-// use for longer with the deadlines that callers set; an older loss counts as one
-// that is noticed anew, which only makes a job wait.
-const lostLife = time.Minute
+// lossRetention is how long the loss of a link is remembered. It exceeds the time for which
+// an entry can matter with the deadlines that callers set. An older loss counts as noticed
+// anew, which only makes a job wait.
+const lossRetention = time.Minute
 
-// LinkDown takes that the link to a host is lost.
+// LinkDown records that the link to a host went down.
 func (t *Table) LinkDown(address string, now time.Duration) {
-	if _, noted := t.lost[address]; !noted {
-		t.lost[address] = now
+	if _, known := t.lostAt[address]; !known {
+		t.lostAt[address] = now
 	}
 }
 
-// LinkUp takes that the link to a host is up.
-func (t *Table) LinkUp(address string) { delete(t.lost, address) }
+// LinkUp records that the link to a host is up.
+func (t *Table) LinkUp(address string) { delete(t.lostAt, address) }
 
-// ResetLosses takes that this host had been cut off from its domain, or stood still, until now.
-// Whom it lost meanwhile may have been well.
+// ResetLosses records that this host was cut off from its domain, or suspended, until now.
+// Hosts that it lost meanwhile may have been running, so their losses count from now on.
 func (t *Table) ResetLosses(now time.Duration) {
-	for address := range t.lost {
-		t.lost[address] = now
+	for address := range t.lostAt {
+		t.lostAt[address] = now
 	}
 }
 
-// ConfirmAlive takes that a front has answered by way of another host: it lives.
+// ConfirmAlive records that a front has answered through another host, and so is alive.
 func (t *Table) ConfirmAlive(address string, now time.Duration) {
-	if _, noted := t.lost[address]; noted {
-		t.lost[address] = now
+	if _, known := t.lostAt[address]; known {
+		t.lostAt[address] = now
 	}
 }
 
-// Contacts returns the hosts to ask for a front, in order: itself, those that told of its
-// job, and others that may reach it.
+// Contacts returns the hosts to ask about a front, in order: the front itself, the hosts
+// that announced its job, and others that may reach it.
 func (e *Entry) Contacts(others ...string) []string {
-	ways := []string{e.Front.Address}
-	for _, way := range slices.Concat(e.tellers, others) {
-		if !slices.Contains(ways, way) {
-			ways = append(ways, way)
+	contacts := []string{e.Front.Address}
+	for _, contact := range slices.Concat(e.reporters, others) {
+		if !slices.Contains(contacts, contact) {
+			contacts = append(contacts, contact)
 		}
 	}
-	return ways
+	return contacts
 }
 
-// RunsEndBy returns when no run of a job can be alive any more whose front is lost, as was
-// noticed at a time. Only a host of the front's own domain can say: it takes the front for
-// dead, or cut off from the owners that it renewed leases at. To others the front may
-// be out of sight because its domain is cut off and goes on serving.
+// RunsEndBy returns when no run of a job can be alive whose front is unreachable. noticed
+// is used as the time of the loss if none is recorded. Only a host of the front's own
+// domain can tell: for such a host the front is dead, or cut off from the owners at which
+// it renewed leases. For other hosts the front may be unreachable because its domain is cut
+// off and goes on serving.
 func (t *Table) RunsEndBy(e Entry, noticed time.Duration) time.Duration {
-	lostAt, noted := t.lost[e.Front.Address]
-	if !noted {
+	lostAt, known := t.lostAt[e.Front.Address]
+	if !known {
 		lostAt = noticed
 	}
-	return min(e.ExpiresAt, lostAt+t.settle)
+	return min(e.ExpiresAt, lostAt+t.runTimeout)
 }
 
-// ToRelay returns what is known of jobs that other hosts of this domain hear of
-// from this one, by front, for a host that may not have heard it.
+// ToRelay returns the announcements that this host relays within its domain, by front, for
+// a host that may have missed them.
 func (t *Table) ToRelay(now time.Duration) map[Front][]Announcement {
 	byFront := map[Front][]Announcement{}
 	for id, entries := range t.byID {
 		for _, e := range entries {
-			if e.passOn && !e.closed && now < e.ExpiresAt {
+			if e.relay && !e.closed && now < e.ExpiresAt {
 				byFront[e.Front] = append(byFront[e.Front], Announcement{ID: id, Remaining: e.ExpiresAt - now})
 			}
 		}
