--- a/pkg/keeping/codec.go
+++ b/pkg/keeping/codec.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// codec implements kept.Codec by protobuf messages.
+// codec implements kept.Codec with protobuf messages.
 type codec struct{}
 
 // EncodeRecord implements kept.Codec.
@@ -30,11 +30,11 @@
 func (codec) DecodeRecord(id string, value []byte) (kept.Record, error) {
 	row := &peerpb.KeptJob{}
 	if err := proto.Unmarshal(value, row); err != nil {
-		return kept.Record{}, errkind.Wrap(err, errkind.BadRequest, "remove the row if another writer made it", "the row of job %s is none of ours", id)
+		return kept.Record{}, errkind.Wrap(err, errkind.BadRequest, "remove the row if another program wrote it", "the row of job %s is not a valid kept job", id)
 	}
 	m := &peerpb.Dispatch{}
 	if err := proto.Unmarshal(row.Job, m); err != nil || m.Id != id || row.Cell == "" {
-		return kept.Record{}, errkind.New(errkind.BadRequest, "remove the row if another writer made it", "the row of job %s holds another job or names no cell", id)
+		return kept.Record{}, errkind.New(errkind.BadRequest, "remove the row if another program wrote it", "the row of job %s holds another job or names no cell", id)
 	}
 	return kept.Record{
 		ID:         id,
@@ -55,11 +55,11 @@
 func (codec) DecodeEnd(value []byte) (kept.End, error) {
 	row := &peerpb.KeptEnd{}
 	if err := proto.Unmarshal(value, row); err != nil {
-		return kept.End{}, errkind.Wrap(err, errkind.BadRequest, "remove the row if another writer made it", "the row of an ended job is none of ours")
+		return kept.End{}, errkind.Wrap(err, errkind.BadRequest, "remove the row if another program wrote it", "the row of an ended job cannot be decoded")
 	}
 	end := kept.End{State: kept.State(row.State), Cell: row.Cell, At: microseconds(row.EndedUs)}
 	if !end.State.Ended() {
-		return end, errkind.New(errkind.BadRequest, "remove the row if another writer made it", "the row of an ended job tells no end")
+		return end, errkind.New(errkind.BadRequest, "remove the row if another program wrote it", "the row of an ended job has no final state")
 	}
 	return end, nil
 }
@@ -67,23 +67,23 @@
 func encode(m proto.Message) []byte {
 	data, err := proto.Marshal(m)
 	if err != nil {
-		panic(err) // only a text that isn't UTF-8 fails, and JSON has none
+		panic(err) // fails only on text that is not UTF-8, which JSON cannot contain
 	}
 	return data
 }
 
-// encodeJob returns a job, with what is known of its tasks, as its row holds it.
+// encodeJob encodes a job with the progress of its tasks for its row.
 func encodeJob(j *job.Job, progress []job.Progress) []byte {
 	m := jobwire.ToDispatch(j, "", 0, progress, 0, j.Received)
 	m.AgeUs, m.TimeLeftUs = 0, 0
 	return encode(m)
 }
 
-// forEver stands for the deadline of a kept job, which has none.
-const forEver = 10 * 365 * 24 * time.Hour
+// noDeadline stands for the deadline of a kept job, which has none.
+const noDeadline = 10 * 365 * 24 * time.Hour
 
-// jobOf returns the job of a record and what is known of its tasks, on the clock of
-// this process. The record was encoded here, or its job was read once.
+// jobOf decodes the job of a record and the progress of its tasks, with times on the clock
+// of this process. It panics on undecodable records: DecodeRecord has checked them.
 func jobOf(record *kept.Record, age, now time.Duration) (*job.Job, []job.Progress) {
 	m := &peerpb.Dispatch{}
 	if err := proto.Unmarshal(record.Job, m); err != nil {
@@ -92,7 +92,7 @@
 	j := jobwire.FromDispatch(m, now)
 	j.Kept = true
 	j.Received = now - age
-	j.Deadline = now + forEver
+	j.Deadline = now + noDeadline
 	return j, jobwire.FromProgress(m.Progress)
 }
 
--- a/pkg/keeping/ended.go
+++ b/pkg/keeping/ended.go
@@ -8,58 +8,61 @@
 	"github.com/foxcroft/foxcroft/pkg/kept"
 )
 
-// Pauses of telling owners of the ends of jobs.
+// Timing of notices to owners about the ends of jobs.
 const (
-	tellPause = 300 * time.Millisecond
-	// tellFor is how long an owner is looked for, until it forgets by itself.
-	tellFor = 20 * time.Second
-	// tellAgain is when a cancelled job is told once more: another keeper may have
-	// handed it to the owner that came after the one that was told.
-	tellAgain = 1500 * time.Millisecond
+	notifyRetryPause = 300 * time.Millisecond
+	// notifyPeriod is how long a notice is retried. Owners forget ended jobs by themselves
+	// after that.
+	notifyPeriod = 20 * time.Second
+	// cancelNoticeRepeat is the delay before the notice of a cancelled job is repeated:
+	// another coordinator may have dispatched the job to the next owner after the first
+	// notice.
+	cancelNoticeRepeat = 1500 * time.Millisecond
 )
 
-// ended takes that the end of a job lasts, and tells the owner of its cell. p.mu is held.
-func (p *partition) ended(e kept.EndedJob, now time.Duration) {
+// handleEnd stops following a job whose end is stored and notifies the owner of its cell.
+// p.mu is held.
+func (p *partition) handleEnd(e kept.EndedJob, now time.Duration) {
 	if f := p.followers[e.ID]; f != nil {
 		f.cancel()
-		close(f.over)
+		close(f.ended)
 		delete(p.followers, e.ID)
 		p.service.Log.Info("kept_ended", "job", e.ID, "route", f.job.Route, "cell", e.Cell, "outcome", e.State.String(), "took_ms", (now - f.job.Received).Milliseconds())
 	}
 	if e.State == kept.Cancelled {
-		go p.service.tellCancelled(e)
+		go p.service.notifyCancelled(e)
 		return
 	}
-	p.service.notes.add(e.Cell, e.ID, now+kept.EndNoticeDelay)
+	p.service.endNotices.add(e.Cell, e.ID, now+kept.EndNoticeDelay)
 }
 
-// tellCancelled tells the owner of a job's cell that it was cancelled until it has
-// heard so, and once more a while later.
-func (s *Service) tellCancelled(e kept.EndedJob) {
-	word := OwnerNotice{Cell: e.Cell, IDs: []string{e.ID}, Cancelled: true}
-	s.tellUntilHeard(word)
-	if common.Sleep(s.ctx, tellAgain) {
-		s.tellUntilHeard(word)
+// notifyCancelled notifies the owner of a job's cell of the cancellation until it answers,
+// and once more after cancelNoticeRepeat.
+func (s *Service) notifyCancelled(e kept.EndedJob) {
+	notice := OwnerNotice{Cell: e.Cell, IDs: []string{e.ID}, Cancelled: true}
+	s.notifyUntilAnswered(notice)
+	if common.Sleep(s.ctx, cancelNoticeRepeat) {
+		s.notifyUntilAnswered(notice)
 	}
 }
 
-// tellUntilHeard tells an owner something until it has answered.
-func (s *Service) tellUntilHeard(word OwnerNotice) {
-	limit := s.Clock.Now() + tellFor
+// notifyUntilAnswered repeats a notice until the owner answers or notifyPeriod has passed.
+func (s *Service) notifyUntilAnswered(notice OwnerNotice) {
+	limit := s.Clock.Now() + notifyPeriod
 	for s.Clock.Now() < limit {
-		if s.tell(word) {
+		if s.notifyOwner(notice) {
 			return
 		}
-		if !common.Sleep(s.ctx, tellPause) {
+		if !common.Sleep(s.ctx, notifyRetryPause) {
 			return
 		}
 	}
-	s.Log.Warn("kept_owner_not_told", "cell", word.Cell, "jobs", len(word.IDs), "cancelled", word.Cancelled)
+	s.Log.Warn("kept_owner_not_told", "cell", notice.Cell, "jobs", len(notice.IDs), "cancelled", notice.Cancelled)
 }
 
-func (s *Service) tell(word OwnerNotice) bool {
-	ctx, cancel := context.WithTimeout(s.ctx, tellTime)
+func (s *Service) notifyOwner(notice OwnerNotice) bool {
+	ctx, cancel := context.WithTimeout(s.ctx, notifyTimeout)
 	defer cancel()
-	_, ok := s.host.NotifyOwner(ctx, word)
+	_, ok := s.host.NotifyOwner(ctx, notice)
 	return ok
 }
--- a/pkg/keeping/fakes_test.go
+++ b/pkg/keeping/fakes_test.go
@@ -15,13 +15,13 @@
 	"github.com/foxcroft/foxcroft/pkg/tables"
 )
 
-// fakeStore keeps rows in memory.
+// fakeStore is an in-memory store.
 type fakeStore struct {
 	mu      sync.Mutex
 	rows    map[string]tables.Row
 	version uint64
 	fail    error // of every call; nil for none
-	lose    bool  // the next answer to a transaction, which is carried out
+	lose    bool  // drop the next answer to a transaction, which is applied
 }
 
 func newFakeStore() *fakeStore { return &fakeStore{rows: map[string]tables.Row{}} }
@@ -75,7 +75,7 @@
 		}
 	}
 	slices.SortFunc(page.Rows, func(a, b tables.Row) int { return strings.Compare(a.Key, b.Key) })
-	if len(page.Rows) > 2 { // pages are small here
+	if len(page.Rows) > 2 { // small pages
 		page.Rows, page.More = page.Rows[:2], true
 	}
 	return page, s.fail
@@ -88,37 +88,37 @@
 	return row, found, s.fail
 }
 
-// handover is a job that was handed to an owner, whose end the test chooses.
-type handover struct {
+// fakeDispatch is a dispatched job. The test sends its outcome to end.
+type fakeDispatch struct {
 	id    string
 	cell  string
 	epoch int
 	end   chan job.Outcome
 }
 
-// fakeHost is a node that keeps everything itself, unless told otherwise.
+// fakeHost is a node that coordinates every partition by default.
 type fakeHost struct {
-	keeper   CoordinatorHost
-	ask      func(id string) (kept.Answer, bool) // of the other keeper
-	handed   chan handover
-	words    chan OwnerNotice
-	noOwner  bool
-	noCell   bool
-	wait     time.Duration // at the cell
-	fewSeen  atomic.Bool
-	stillRun []string // moved jobs that go on in their old cells
+	coordinator  CoordinatorHost
+	ask          func(id string) (kept.Answer, bool) // answers for the other coordinator
+	dispatches   chan fakeDispatch
+	notices      chan OwnerNotice
+	noOwner      bool
+	noCell       bool
+	wait         time.Duration // queueing time at the cell
+	seesMinority atomic.Bool
+	stillRunning []string // moved jobs that still run in their previous cells
 }
 
 func newFakeHost() *fakeHost {
-	return &fakeHost{keeper: CoordinatorHost{Self: true}, handed: make(chan handover, 100), words: make(chan OwnerNotice, 100)}
+	return &fakeHost{coordinator: CoordinatorHost{Self: true}, dispatches: make(chan fakeDispatch, 100), notices: make(chan OwnerNotice, 100)}
 }
 
 func (h *fakeHost) Settled() bool                     { return true }
 func (h *fakeHost) ViewVersion() uint64               { return 1 }
-func (h *fakeHost) CoordinatorOf(int) CoordinatorHost { return h.keeper }
+func (h *fakeHost) CoordinatorOf(int) CoordinatorHost { return h.coordinator }
 func (h *fakeHost) WaitAt(string) time.Duration       { return h.wait }
 func (h *fakeHost) HasOwner(string) bool              { return !h.noOwner }
-func (h *fakeHost) SeesMinority() bool                { return h.fewSeen.Load() }
+func (h *fakeHost) SeesMinority() bool                { return h.seesMinority.Load() }
 func (h *fakeHost) CellIsGone(string) bool            { return false }
 func (h *fakeHost) Changed() <-chan struct{}          { return make(chan struct{}) }
 func (h *fakeHost) KeptAnswered(string, string)       {}
@@ -136,19 +136,19 @@
 }
 
 func (h *fakeHost) Dispatch(ctx context.Context, j *job.Job, cell string, epoch int, _ []job.Progress) job.Outcome {
-	handed := handover{id: j.ID, cell: cell, epoch: epoch, end: make(chan job.Outcome, 1)}
-	h.handed <- handed
+	dispatched := fakeDispatch{id: j.ID, cell: cell, epoch: epoch, end: make(chan job.Outcome, 1)}
+	h.dispatches <- dispatched
 	select {
-	case outcome := <-handed.end:
+	case outcome := <-dispatched.end:
 		return outcome
 	case <-ctx.Done():
 		return job.Outcome{Kind: job.Expired}
 	}
 }
 
-func (h *fakeHost) NotifyOwner(_ context.Context, word OwnerNotice) ([]string, bool) {
-	h.words <- word
-	return h.stillRun, !h.noOwner
+func (h *fakeHost) NotifyOwner(_ context.Context, notice OwnerNotice) ([]string, bool) {
+	h.notices <- notice
+	return h.stillRunning, !h.noOwner
 }
 
 // startService runs a service until the test ends.
--- a/pkg/keeping/rows.go
+++ b/pkg/keeping/rows.go
@@ -8,17 +8,16 @@
 	"github.com/foxcroft/foxcroft/pkg/tables"
 )
 
-// rowsOf are the rows of one job as they were read, the open one first: a job that
-// ends in between is found among the ended ones.
+// rowsOf are the rows of one job. The open row is read first, so that a job that ends
+// between the two reads is found among the ended ones.
 type rowsOf struct {
-	open  *tables.Row // nil when absent
-	ended *tables.Row // likewise; not read while the job is open
+	open  *tables.Row // nil if absent
+	ended *tables.Row // nil if absent; not read if the job is open
 	began time.Duration
 }
 
-// readRows reads the rows of a job.
 func (s *Service) readRows(ctx context.Context, id string) (rowsOf, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	rows := rowsOf{began: s.Clock.Now()}
 	var err error
@@ -38,14 +37,14 @@
 	return &row, nil
 }
 
-// openRows are the open jobs of a partition.
+// openRows are the rows of the open jobs of a partition.
 type openRows struct {
 	rows  []tables.Row
 	began time.Duration
 	now   time.Duration // the store's clock
 }
 
-// readOpen reads the open jobs of a part, page by page.
+// readOpen reads all rows of the open jobs of a part, page by page.
 func (s *Service) readOpen(ctx context.Context, part string) (openRows, error) {
 	all := openRows{began: s.Clock.Now()}
 	from := ""
@@ -64,7 +63,7 @@
 }
 
 func (s *Service) readPage(ctx context.Context, part, from string) (tables.Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	return s.store.Read(ctx, kept.TableOpen, part, from)
 }
--- a/pkg/keeping/service.go
+++ b/pkg/keeping/service.go
@@ -1,6 +1,6 @@
-// Package keeping carries out what pkg/kept decides: it writes the rows of kept jobs,
-// follows jobs from owner to owner, and answers for them. The node tells it who the
-// keepers are and takes its jobs to owners.
+// Package keeping carries out the decisions of pkg/kept: it writes the rows of kept jobs,
+// dispatches the jobs to the owners of their cells, and answers calls about them. The node
+// tells it which host coordinates each partition and delivers its messages to owners.
 package keeping
 
 import (
@@ -13,126 +13,126 @@
 	"github.com/foxcroft/foxcroft/pkg/tables"
 )
 
-// Intervals of the work of keepers.
+// Intervals and timeouts.
 const (
 	tickInterval = 50 * time.Millisecond
-	// viewInterval is how often it is worked out which partitions this host keeps.
+	// viewInterval is how often the partitions that this host coordinates are computed.
 	viewInterval = 200 * time.Millisecond
-	// secondReading and the pauses after it are when the rows of a partition are read
-	// again after its keepers may have changed: another host may have taken a job in
-	// meanwhile, and died. A last look comes every regularReading.
-	secondReading  = 700 * time.Millisecond
-	thirdReading   = 3 * time.Second
-	regularReading = 30 * time.Second
-	readingPause   = 400 * time.Millisecond // at least, between two readings
-	// callTime bounds calls to the store, which take 15 ms when it is calm: a second
-	// try fits into a caller's time.
-	callTime = 400 * time.Millisecond
-	// keepTime is how long a caller waits for its job to be kept at most.
-	keepTime = 1500 * time.Millisecond
-	// askTime bounds calls to the keeper, which take 20 ms, and stateWait more for a
-	// state: the front then turns to the store itself.
-	askTime = 600 * time.Millisecond
-	// ownerWait is how long a job waits for a cell that can run it.
-	ownerWait = time.Second
-	// tellTime bounds the word to an owner that a job was cancelled, for which the
-	// caller waits.
-	tellTime = 400 * time.Millisecond
-	// shortQueue is the work that may wait in a cell without a look at what it is worth:
-	// a host carries so many jobs well.
-	shortQueue = 5 * time.Second
-	// stateWait is how long the answer to a question for the state of an open job waits
-	// for its end, at most: callers often ask just when the last task ends, and then
-	// again a quarter of a second later.
-	stateWait = 300 * time.Millisecond
-	comeBack  = time.Second
+	// The rows of a partition are read again some time after its coordinators may have
+	// changed, because another host may have accepted a job meanwhile and failed. After
+	// that they are read at readInterval.
+	secondReadDelay = 700 * time.Millisecond
+	thirdReadDelay  = 3 * time.Second
+	readInterval    = 30 * time.Second
+	minReadPause    = 400 * time.Millisecond // least time between two readings
+	// storeTimeout bounds calls to the store. It is well above their usual duration, and
+	// leaves time for a second attempt within keepTimeout.
+	storeTimeout = 400 * time.Millisecond
+	// keepTimeout is the longest time that a caller waits for its job to be kept.
+	keepTimeout = 1500 * time.Millisecond
+	// coordinatorTimeout bounds calls to the coordinator, endWait included. After it the
+	// front uses the store itself.
+	coordinatorTimeout = 600 * time.Millisecond
+	// cellWait is how long a job waits for a cell that can run it.
+	cellWait = time.Second
+	// notifyTimeout bounds a notice to an owner. The caller of a cancel waits for it.
+	notifyTimeout = 400 * time.Millisecond
+	// shortWait is the queueing time up to which jobs are kept without a check that they
+	// can still be of value when they end.
+	shortWait = 5 * time.Second
+	// endWait is the longest time that a state query for an open job waits for the job to
+	// end. Callers often ask just before the last task ends, and would ask again soon.
+	endWait    = 300 * time.Millisecond
+	retryDelay = time.Second
 )
 
-// Reasons of refusals and of answers that leave the fate of a job open.
+// Reasons of refusals and of answers with the verdict Unknown.
 const (
-	ReasonNoOwner    = "no_owner"
-	ReasonOverloaded = "overloaded"
-	ReasonNoAnswer   = "keeper_silent"
-	ReasonRowUnread  = "rows_unread"
+	ReasonNoOwner        = "no_owner"
+	ReasonOverloaded     = "overloaded"
+	ReasonNoAnswer       = "keeper_silent"
+	ReasonRowsUnreadable = "rows_unread"
 )
 
-// CoordinatorHost is a host that keeps a partition.
+// CoordinatorHost is the host that coordinates a partition.
 type CoordinatorHost struct {
 	Address string
 	Self    bool
 }
 
-// OwnerNotice is what the owner of a cell is told of kept jobs there.
+// OwnerNotice notifies the owner of a cell of what the rows of kept jobs say.
 type OwnerNotice struct {
 	Cell      string
 	IDs       []string
-	Cancelled bool // they are to be stopped
-	Moved     bool // another cell is to run them
-	Progress  int  // so many ends of the job's tasks stand in its row; 0 when this isn't about them
+	Cancelled bool // the jobs must be stopped
+	Moved     bool // the jobs are assigned to another cell
+	Progress  int  // number of task ends that are stored in the job's row; 0 if the notice is not about progress
 }
 
-// Host is the node as keepers need it.
+// Host is what this package needs of the node.
 type Host interface {
-	// Settled reports whether this host knows the others well enough to say who
-	// keeps what.
+	// Settled reports whether this host knows the other hosts well enough to tell which of
+	// them coordinates each partition.
 	Settled() bool
-	// ViewVersion changes when hosts have come or gone.
+	// ViewVersion changes when hosts join or leave the view.
 	ViewVersion() uint64
-	// CoordinatorOf returns the keeper of a partition as this host sees it.
+	// CoordinatorOf returns the coordinator of a partition as this host sees it.
 	CoordinatorOf(partition int) CoordinatorHost
-	// AskCoordinator asks another host to keep a job; sent is false when nothing can have
-	// reached it.
+	// AskCoordinator asks another host to keep a job. It returns sent as false if the
+	// request cannot have reached that host.
 	AskCoordinator(ctx context.Context, address, cell string, j *job.Job, hops int) (answer kept.Answer, sent bool)
-	// AskState asks another host for the state of a job, or to cancel it.
+	// AskState asks another host for the state of a job, or to cancel it. It returns false
+	// if the request was not sent.
 	AskState(ctx context.Context, address, id string, cancel bool, hops int) (kept.Answer, bool)
-	// ChooseCell returns the cell that should run a job, or false when there is none.
+	// ChooseCell returns the cell that should run a job, or false if there is none.
 	ChooseCell(j *job.Job) (string, bool)
-	// WaitAt returns how long a job handed to a cell now waits for room, as its owner
-	// has told how much waits there.
+	// WaitAt returns how long a job that is sent to a cell now waits in its queue, by the
+	// load that its owner reports.
 	WaitAt(cell string) time.Duration
-	// HasOwner reports whether a cell has an owner in sight.
+	// HasOwner reports whether a cell has a reachable owner.
 	HasOwner(cell string) bool
-	// SeesMinority reports whether this host sees under half of the hosts that should be there.
+	// SeesMinority reports whether this host reaches less than half of the expected hosts.
 	SeesMinority() bool
-	// CellIsGone reports whether the store lists no executor of a cell any more, by a
-	// host that can read it and sees more than half of the others.
+	// CellIsGone reports whether the store lists no executors of a cell any more. It is
+	// true only at a host that can read the store and reaches more than half of the
+	// expected hosts.
 	CellIsGone(cell string) bool
 	// Changed returns a channel that is closed when owners may have changed.
 	Changed() <-chan struct{}
-	// Dispatch hands a job to the owner of its cell and waits for its end there.
+	// Dispatch sends a job to the owner of its cell and waits for its end there.
 	Dispatch(ctx context.Context, j *job.Job, cell string, epoch int, progress []job.Progress) job.Outcome
-	// NotifyOwner tells the owner of a cell what stands in the rows of jobs. It returns the
-	// moved jobs that run there all the same, and false when the owner wasn't reached or
-	// can't say yet.
-	NotifyOwner(ctx context.Context, word OwnerNotice) ([]string, bool)
+	// NotifyOwner sends a notice to the owner of a cell. It returns the moved jobs that
+	// still run there, and false if the owner was not reached or cannot say yet.
+	NotifyOwner(ctx context.Context, notice OwnerNotice) ([]string, bool)
 }
 
-// Meter takes the figures of what keepers do.
+// Meter counts transactions and answers.
 type Meter interface {
-	// KeptWritten counts a transaction: how it ended, its changes, and its time.
+	// KeptWritten counts a transaction with its outcome, its number of changes, and its
+	// duration.
 	KeptWritten(outcome string, changes int, took time.Duration)
 	// KeptAnswered counts an answer to a caller.
 	KeptAnswered(call, verdict string)
 }
 
-// Service keeps jobs at one host.
+// Service serves kept jobs at one host.
 type Service struct {
 	*common.Common
 	host       Host
 	store      tables.Store
 	meter      Meter
 	partitions []*partition
-	notes      *notes
-	doubts     *doubts
-	reach      reach
+	endNotices *endNotices
+	unresolved *unresolvedJobs
+	storeReach storeReach
 	health     kept.Health
 	ctx        context.Context
 	stop       context.CancelFunc
 }
 
-// NewService makes a service. Run lets it work.
+// NewService returns a service that is idle until Run is called.
 func NewService(c *common.Common, host Host, store tables.Store, meter Meter) *Service {
-	s := &Service{Common: c, host: host, store: store, meter: meter, notes: newNotes(), doubts: newDoubts()}
+	s := &Service{Common: c, host: host, store: store, meter: meter, endNotices: newEndNotices(), unresolved: newUnresolvedJobs()}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	for i := range kept.Partitions {
 		s.partitions = append(s.partitions, newPartition(s, i))
@@ -140,48 +140,46 @@
 	return s
 }
 
-// Run looks after the partitions until ctx ends.
+// Run serves the partitions until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	defer s.stop()
-	go s.runReach(ctx)
+	go s.watchIsolation(ctx)
 	nextView := time.Duration(0)
 	for common.Sleep(ctx, s.pause()) {
 		now := s.Clock.Now()
 		if now >= nextView && s.host.Settled() {
-			s.look(now)
+			s.updateCoordinators(now)
 			nextView = now + viewInterval
 		}
 		for _, p := range s.partitions {
 			p.tick(now)
 		}
-		for _, word := range s.notes.take(now) {
-			go s.tellUntilHeard(word)
+		for _, notice := range s.endNotices.takeDue(now) {
+			go s.notifyUntilAnswered(notice)
 		}
 	}
 }
 
-// pause returns how long to wait before the partitions are looked after again. Hosts
-// without kept jobs only have to know whose keepers they are: looks each 50 ms took 6% of
-// all processor time of 40 hosts on a quiet day (36.2 and 34.0 s in 28 s, one play each).
+// pause returns the time until the next tick of the partitions. It is longer without kept
+// jobs, to save processor time.
 func (s *Service) pause() time.Duration {
-	if s.Open() > 0 || s.notes.waiting() {
+	if s.Open() > 0 || s.endNotices.pending() {
 		return tickInterval
 	}
 	return viewInterval
 }
 
-// look works out which partitions this host keeps.
-func (s *Service) look(now time.Duration) {
+// updateCoordinators determines which partitions this host coordinates.
+func (s *Service) updateCoordinators(now time.Duration) {
 	version := s.host.ViewVersion()
 	for _, p := range s.partitions {
-		p.setKeeper(s.host.CoordinatorOf(p.number).Self, version, now)
+		p.setCoordinator(s.host.CoordinatorOf(p.number).Self, version, now)
 	}
 }
 
-// partitionOf returns the partition of a job.
 func (s *Service) partitionOf(id string) *partition { return s.partitions[kept.PartitionOf(id)] }
 
-// Open returns the number of kept jobs that this host looks after.
+// Open returns the number of open kept jobs that this host knows.
 func (s *Service) Open() int {
 	open := 0
 	for _, p := range s.partitions {
@@ -190,7 +188,7 @@
 	return open
 }
 
-// Waiting counts, by route, the jobs that are kept and with no owner yet.
+// Waiting counts, by route, the kept jobs that have not been dispatched to an owner yet.
 func (s *Service) Waiting() map[string]int {
 	counts := map[string]int{}
 	for _, p := range s.partitions {
@@ -199,80 +197,80 @@
 	return counts
 }
 
-// Keep has a job kept: by its keeper, or by this host when that one can't be asked
-// or can't write.
+// Keep keeps a job: at its coordinator, or at this host if the coordinator cannot be
+// reached or cannot write.
 func (s *Service) Keep(ctx context.Context, j *job.Job) kept.Answer {
 	cell, ok := s.chooseCell(ctx, j)
 	if !ok {
-		return s.answered("keep", j.ID, s.turnAway(ctx, j.ID, ReasonNoOwner, comeBack))
+		return s.recordAnswer("keep", j.ID, s.refuseUnlessKept(ctx, j.ID, ReasonNoOwner, retryDelay))
 	}
-	if wait := s.host.WaitAt(cell); s.comesTooLate(j, wait) {
-		return s.answered("keep", j.ID, s.turnAway(ctx, j.ID, ReasonOverloaded, max(wait, comeBack)))
+	if wait := s.host.WaitAt(cell); s.endsTooLate(j, wait) {
+		return s.recordAnswer("keep", j.ID, s.refuseUnlessKept(ctx, j.ID, ReasonOverloaded, max(wait, retryDelay)))
 	}
-	return s.answered("keep", j.ID, s.keepAt(ctx, cell, j, 0))
+	return s.recordAnswer("keep", j.ID, s.keepAt(ctx, cell, j, 0))
 }
 
-// comesTooLate reports whether a job would be done too late to be worth anything. Its
-// caller can try elsewhere sooner; kept, it would only be carried along. Before a job of
-// much value not all comes that waits.
-func (s *Service) comesTooLate(j *job.Job, wait time.Duration) bool {
-	if wait <= shortQueue {
+// endsTooLate reports whether a job would end too late to be of value. Its caller can then
+// try elsewhere sooner. The wait is an upper bound, as a job of high value overtakes
+// others in the queue.
+func (s *Service) endsTooLate(j *job.Job, wait time.Duration) bool {
+	if wait <= shortWait {
 		return false
 	}
 	chain := j.LongestChain()
 	return s.Clock.Now()+wait+chain > j.UsefulUntil(chain)
 }
 
-// turnAway refuses a job that comes too late or that no cell can run, unless it was
-// accepted before.
-func (s *Service) turnAway(ctx context.Context, id, reason string, retryAfter time.Duration) kept.Answer {
+// refuseUnlessKept refuses a job unless it was accepted before.
+func (s *Service) refuseUnlessKept(ctx context.Context, id, reason string, retryAfter time.Duration) kept.Answer {
 	known := s.stateAt(ctx, id, 0)
 	if known.Verdict != kept.NotFound {
 		return known
 	}
 	refusal := kept.Answer{Verdict: kept.Refused, Reason: reason, RetryAfter: retryAfter}
-	return s.doubts.judge(id, refusal, s.Clock.Now())
+	return s.unresolved.reconcile(id, refusal, s.Clock.Now())
 }
 
-// HandleKeep answers another host that asks to have a job kept.
+// HandleKeep answers a keep request of another host.
 func (s *Service) HandleKeep(cell string, j *job.Job, hops int) kept.Answer {
-	ctx, cancel := context.WithTimeout(s.ctx, keepTime)
+	ctx, cancel := context.WithTimeout(s.ctx, keepTimeout)
 	defer cancel()
 	return s.keepAt(ctx, cell, j, hops)
 }
 
-// mostHops is how often a call is passed on: a host that is asked by one that sees
-// other hosts may know the keeper better.
-const mostHops = 1
+// maxHops is how often a call is forwarded. A host that receives a call from one with a
+// different view may know the coordinator better.
+const maxHops = 1
 
-// keepAt has a job kept, and answers for all its sendings that this host knows of.
+// keepAt keeps a job, and gives the answer that holds for all its submissions that this
+// host knows of.
 func (s *Service) keepAt(ctx context.Context, cell string, j *job.Job, hops int) kept.Answer {
-	answer := s.keepBy(ctx, cell, j, hops)
-	return s.doubts.judge(j.ID, answer, s.Clock.Now())
+	answer := s.keepOrForward(ctx, cell, j, hops)
+	return s.unresolved.reconcile(j.ID, answer, s.Clock.Now())
 }
 
-// keepBy has a job kept by its keeper, or by this host.
-func (s *Service) keepBy(ctx context.Context, cell string, j *job.Job, hops int) kept.Answer {
-	keeper := s.host.CoordinatorOf(kept.PartitionOf(j.ID))
-	if keeper.Self || hops > mostHops {
-		return s.keepHere(ctx, cell, j)
+// keepOrForward keeps a job at its coordinator, or at this host.
+func (s *Service) keepOrForward(ctx context.Context, cell string, j *job.Job, hops int) kept.Answer {
+	coordinator := s.host.CoordinatorOf(kept.PartitionOf(j.ID))
+	if coordinator.Self || hops > maxHops {
+		return s.keepLocally(ctx, cell, j)
 	}
-	asked, cancel := context.WithTimeout(ctx, askTime)
+	askCtx, cancel := context.WithTimeout(ctx, coordinatorTimeout)
 	defer cancel()
-	answer, sent := s.host.AskCoordinator(asked, keeper.Address, cell, j, hops+1)
+	answer, sent := s.host.AskCoordinator(askCtx, coordinator.Address, cell, j, hops+1)
 	if sent && (answer.Verdict == kept.Accepted || hops > 0) {
 		return answer
 	}
-	here := s.keepHere(ctx, cell, j)
-	if here.Verdict == kept.Refused && sent && answer.Verdict != kept.Refused {
-		return kept.Answer{Verdict: kept.Unknown, Reason: ReasonNoAnswer, RetryAfter: comeBack} // the keeper may have kept it
+	local := s.keepLocally(ctx, cell, j)
+	if local.Verdict == kept.Refused && sent && answer.Verdict != kept.Refused {
+		return kept.Answer{Verdict: kept.Unknown, Reason: ReasonNoAnswer, RetryAfter: retryDelay} // the coordinator may have kept the job
 	}
-	return here
+	return local
 }
 
-// chooseCell returns the cell that should run a job, waiting a while for one.
+// chooseCell returns the cell that should run a job. It waits up to cellWait for one.
 func (s *Service) chooseCell(ctx context.Context, j *job.Job) (string, bool) {
-	ctx, cancel := context.WithTimeout(ctx, min(ownerWait, timeFor(ctx)/2))
+	ctx, cancel := context.WithTimeout(ctx, min(cellWait, remainingTime(ctx)/2))
 	defer cancel()
 	for {
 		changed := s.host.Changed()
@@ -281,21 +279,21 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(ownerRecheck):
+		case <-time.After(ownerCheckInterval):
 		case <-ctx.Done():
 			return "", false
 		}
 	}
 }
 
-// StoreIsDown reports whether the store has failed for a while, as seen from this host.
+// StoreIsDown reports whether the last calls of this host to the store have all failed.
 func (s *Service) StoreIsDown() bool { return s.health.IsDown() }
 
-// keepHere keeps a job as its keeper.
-func (s *Service) keepHere(ctx context.Context, cell string, j *job.Job) kept.Answer {
+// keepLocally keeps a job with this host as its coordinator.
+func (s *Service) keepLocally(ctx context.Context, cell string, j *job.Job) kept.Answer {
 	record := kept.Record{ID: j.ID, Cell: cell, Job: encodeJob(j, nil)}
-	answer, _ := s.partitionOf(j.ID).call(ctx, func(k *kept.Coordinator, number uint64, until, now time.Duration) bool {
-		k.Accept(number, record, until, now)
+	answer, _ := s.partitionOf(j.ID).call(ctx, func(co *kept.Coordinator, number uint64, deadline, now time.Duration) bool {
+		co.Accept(number, record, deadline, now)
 		return true
 	})
 	return answer.Answer
@@ -303,12 +301,12 @@
 
 // State returns the state of a kept job.
 func (s *Service) State(ctx context.Context, id string) kept.Answer {
-	return s.answered("state", id, s.stateAt(ctx, id, 0))
+	return s.recordAnswer("state", id, s.stateAt(ctx, id, 0))
 }
 
-// HandleState answers another host that asks for the state of a job, or cancels it.
+// HandleState answers a state or cancel request of another host.
 func (s *Service) HandleState(id string, cancelled bool, hops int) kept.Answer {
-	ctx, cancel := context.WithTimeout(s.ctx, keepTime)
+	ctx, cancel := context.WithTimeout(s.ctx, keepTimeout)
 	defer cancel()
 	if cancelled {
 		return s.cancelAt(ctx, id, hops)
@@ -317,30 +315,31 @@
 }
 
 func (s *Service) stateAt(ctx context.Context, id string, hops int) kept.Answer {
-	if answer, ok := s.ask(ctx, id, false, hops); ok && answer.Verdict != kept.Unknown {
+	if answer, ok := s.forwardState(ctx, id, false, hops); ok && answer.Verdict != kept.Unknown {
 		return answer
 	}
-	return s.stateHere(ctx, id)
+	return s.stateLocally(ctx, id)
 }
 
-// ask asks the keeper of a job's partition, if that is another host.
-func (s *Service) ask(ctx context.Context, id string, cancelled bool, hops int) (kept.Answer, bool) {
-	keeper := s.host.CoordinatorOf(kept.PartitionOf(id))
-	if keeper.Self || hops > mostHops {
+// forwardState sends a state or cancel request to the coordinator of a job's partition. It
+// returns false if that is this host, or if the request was not sent.
+func (s *Service) forwardState(ctx context.Context, id string, cancelled bool, hops int) (kept.Answer, bool) {
+	coordinator := s.host.CoordinatorOf(kept.PartitionOf(id))
+	if coordinator.Self || hops > maxHops {
 		return kept.Answer{}, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+	ctx, cancel := context.WithTimeout(ctx, coordinatorTimeout)
 	defer cancel()
-	return s.host.AskState(ctx, keeper.Address, id, cancelled, hops+1)
+	return s.host.AskState(ctx, coordinator.Address, id, cancelled, hops+1)
 }
 
-// stateHere tells the state of a job by what this host knows and by its rows, where
-// another keeper may have changed them.
-func (s *Service) stateHere(ctx context.Context, id string) kept.Answer {
+// stateLocally returns the state of a job from what this host knows and from its rows,
+// which another coordinator may have changed.
+func (s *Service) stateLocally(ctx context.Context, id string) kept.Answer {
 	p := s.partitionOf(id)
 	p.awaitEnd(ctx, id)
 	state, known := p.state(id)
-	if state.Ended() || known && p.isSure() {
+	if state.Ended() || known && p.isSoleCoordinator() {
 		return kept.Answer{Verdict: kept.Accepted, State: state}
 	}
 	rows, err := s.readRows(ctx, id)
@@ -348,10 +347,10 @@
 	case err != nil && known:
 		return kept.Answer{Verdict: kept.Accepted, State: state}
 	case err != nil:
-		return kept.Answer{Verdict: kept.Unknown, Reason: ReasonRowUnread, RetryAfter: comeBack}
+		return kept.Answer{Verdict: kept.Unknown, Reason: ReasonRowsUnreadable, RetryAfter: retryDelay}
 	case rows.ended != nil:
-		p.learn(id, rows)
-		return s.endOf(p, id, rows)
+		p.applyRows(id, rows)
+		return s.endState(p, id, rows)
 	case rows.open != nil && known:
 		return kept.Answer{Verdict: kept.Accepted, State: state}
 	case rows.open != nil:
@@ -360,81 +359,82 @@
 	return kept.Answer{Verdict: kept.NotFound}
 }
 
-// endOf tells the state of a job by the row of its end.
-func (s *Service) endOf(p *partition, id string, rows rowsOf) kept.Answer {
+// endState returns the state of a job from its ended row.
+func (s *Service) endState(p *partition, id string, rows rowsOf) kept.Answer {
 	if state, _ := p.state(id); state.Ended() {
 		return kept.Answer{Verdict: kept.Accepted, State: state}
 	}
 	end, err := codec{}.DecodeEnd(rows.ended.Value)
 	if err != nil {
-		return kept.Answer{Verdict: kept.Unknown, Reason: kept.ReasonUnread, RetryAfter: comeBack}
+		return kept.Answer{Verdict: kept.Unknown, Reason: kept.ReasonRowUnreadable, RetryAfter: retryDelay}
 	}
 	return kept.Answer{Verdict: kept.Accepted, State: end.State}
 }
 
 // Cancel cancels a kept job for good.
 func (s *Service) Cancel(ctx context.Context, id string) kept.Answer {
-	return s.answered("cancel", id, s.cancelAt(ctx, id, 0))
+	return s.recordAnswer("cancel", id, s.cancelAt(ctx, id, 0))
 }
 
-// cancelAt cancels a job. That there is none has to be true of a write that this host, or
-// a keeper that it asked, may have under way.
+// cancelAt cancels a job. It answers NotFound only if no submission that this host knows
+// of can still be written.
 func (s *Service) cancelAt(ctx context.Context, id string, hops int) kept.Answer {
-	answer := s.cancelBy(ctx, id, hops)
-	if answer.Verdict == kept.NotFound && s.doubts.has(id, s.Clock.Now()) {
-		return kept.Answer{Verdict: kept.Unknown, Reason: reasonSentBefore, RetryAfter: comeBack}
+	answer := s.cancelOrForward(ctx, id, hops)
+	if answer.Verdict == kept.NotFound && s.unresolved.contains(id, s.Clock.Now()) {
+		return kept.Answer{Verdict: kept.Unknown, Reason: reasonSentBefore, RetryAfter: retryDelay}
 	}
 	return answer
 }
 
-// cancelBy has a job cancelled by its keeper, or by this host.
-func (s *Service) cancelBy(ctx context.Context, id string, hops int) kept.Answer {
-	answer, ok := s.ask(ctx, id, true, hops)
+// cancelOrForward cancels a job at its coordinator, or at this host.
+func (s *Service) cancelOrForward(ctx context.Context, id string, hops int) kept.Answer {
+	answer, ok := s.forwardState(ctx, id, true, hops)
 	if !ok || answer.Verdict == kept.Unknown {
-		return s.cancelHere(ctx, id)
+		return s.cancelLocally(ctx, id)
 	}
 	if answer.Verdict != kept.NotFound {
 		return answer
 	}
-	if here, known := s.cancelKnown(ctx, id); known {
-		return here
+	if local, known := s.cancelKnown(ctx, id); known {
+		return local
 	}
 	return answer
 }
 
-// cancelHere cancels a job as its keeper.
-func (s *Service) cancelHere(ctx context.Context, id string) kept.Answer {
+// cancelLocally cancels a job with this host as its coordinator.
+func (s *Service) cancelLocally(ctx context.Context, id string) kept.Answer {
 	if answer, known := s.cancelKnown(ctx, id); known {
 		return answer
 	}
 	rows, err := s.readRows(ctx, id)
 	if err != nil {
-		return kept.Answer{Verdict: kept.Unknown, Reason: ReasonRowUnread, RetryAfter: comeBack}
+		return kept.Answer{Verdict: kept.Unknown, Reason: ReasonRowsUnreadable, RetryAfter: retryDelay}
 	}
-	s.partitionOf(id).learn(id, rows)
+	s.partitionOf(id).applyRows(id, rows)
 	if answer, known := s.cancelKnown(ctx, id); known {
 		return answer
 	}
 	return kept.Answer{Verdict: kept.NotFound}
 }
 
-// cancelKnown cancels a job that this host knows, and answers once its owner knows it, so
-// that a keeper that dies then leaves nothing running. Without an owner in sight there is
-// nobody to tell: owners start nothing that no keeper asks for.
+// cancelKnown cancels a job that this host knows, and returns once its owner has been
+// notified, so that nothing keeps running if the coordinator fails then. Without a
+// reachable owner no notice is needed, because owners start no task of a job that no
+// coordinator asks for.
 func (s *Service) cancelKnown(ctx context.Context, id string) (kept.Answer, bool) {
-	answer, known := s.partitionOf(id).call(ctx, func(k *kept.Coordinator, number uint64, until, now time.Duration) bool {
-		return k.Cancel(number, id, until, now)
+	answer, known := s.partitionOf(id).call(ctx, func(co *kept.Coordinator, number uint64, deadline, now time.Duration) bool {
+		return co.Cancel(number, id, deadline, now)
 	})
 	if known && answer.Cell != "" {
-		told, cancel := context.WithTimeout(ctx, tellTime)
+		notifyCtx, cancel := context.WithTimeout(ctx, notifyTimeout)
 		defer cancel()
-		s.host.NotifyOwner(told, OwnerNotice{Cell: answer.Cell, IDs: []string{id}, Cancelled: true})
+		s.host.NotifyOwner(notifyCtx, OwnerNotice{Cell: answer.Cell, IDs: []string{id}, Cancelled: true})
 	}
 	return answer.Answer, known
 }
 
-// answered logs and counts the answer to a caller.
-func (s *Service) answered(call, id string, answer kept.Answer) kept.Answer {
+// recordAnswer logs and counts the answer to a caller.
+func (s *Service) recordAnswer(call, id string, answer kept.Answer) kept.Answer {
 	s.meter.KeptAnswered(call, answer.Verdict.String())
 	if call != "state" || answer.Verdict != kept.Accepted {
 		s.Log.Info("kept_answered", "job", id, "call", call, "verdict", answer.Verdict.String(), "state", answer.State.String(), "reason", answer.Reason)
--- a/pkg/keeping/service_test.go
+++ b/pkg/keeping/service_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// besides returns the id of another job of the same partition.
-func besides(id string) string {
+// samePartition returns another job id of the same partition.
+func samePartition(id string) string {
 	for i := 0; ; i++ {
 		other := fmt.Sprintf("%s%d", id, i)
 		if kept.PartitionOf(other) == kept.PartitionOf(id) {
@@ -30,19 +30,19 @@
 	}
 }
 
-// within returns the next value of a channel, which has to come soon.
+// within returns the next value of a channel, which must arrive in time.
 func within[T any](c *qt.C, ch <-chan T) T {
 	c.Helper()
 	select {
 	case value := <-ch:
 		return value
 	case <-time.After(5 * time.Second):
-		c.Fatal("nothing came in time")
+		c.Fatal("no value received within 5 s")
 		panic("unreachable")
 	}
 }
 
-// eventually waits for a state.
+// eventually waits until a job has the wanted state.
 func eventually(c *qt.C, s *Service, id string, want kept.State) {
 	c.Helper()
 	var answer kept.Answer
@@ -57,46 +57,46 @@
 
 var accepted = kept.Answer{Verdict: kept.Accepted, State: kept.Queued}
 
-func TestAKeptJobFromItsAcceptanceToItsEnd(t *testing.T) {
+func TestKeptJobLifecycle(t *testing.T) {
 	c := qt.New(t)
 	host, store := newFakeHost(), newFakeStore()
 	s := startService(t.Cleanup, host, store)
 	c.Assert(s.Keep(context.Background(), testJob("a")), qt.Equals, accepted)
-	handed := within(c, host.handed)
-	c.Assert(handed.epoch, qt.Equals, 1)
+	dispatched := within(c, host.dispatches)
+	c.Assert(dispatched.epoch, qt.Equals, 1)
 	eventually(c, s, "a", kept.Running)
-	c.Assert(s.Keep(context.Background(), testJob("a")).Verdict, qt.Equals, kept.Accepted, qt.Commentf("it remains one job"))
-	handed.end <- job.Outcome{Kind: job.Completed}
+	c.Assert(s.Keep(context.Background(), testJob("a")).Verdict, qt.Equals, kept.Accepted, qt.Commentf("a resubmission joins the open job"))
+	dispatched.end <- job.Outcome{Kind: job.Completed}
 	eventually(c, s, "a", kept.Completed)
-	word := within(c, host.words)
-	c.Assert(word, qt.DeepEquals, OwnerNotice{Cell: "x", IDs: []string{"a"}})
+	notice := within(c, host.notices)
+	c.Assert(notice, qt.DeepEquals, OwnerNotice{Cell: "x", IDs: []string{"a"}})
 	c.Assert(s.Open(), qt.Equals, 0)
 	c.Assert(s.State(context.Background(), "b").Verdict, qt.Equals, kept.NotFound)
 }
 
-func TestTheNextKeeperGoesOn(t *testing.T) {
+func TestNextCoordinatorContinues(t *testing.T) {
 	c := qt.New(t)
 	host, store := newFakeHost(), newFakeStore()
 	first := startService(t.Cleanup, host, store)
 	for i := range 40 { // more than a page in each part
 		c.Assert(first.Keep(context.Background(), testJob(fmt.Sprintf("job%02d", i))), qt.Equals, accepted)
-		within(c, host.handed)
+		within(c, host.dispatches)
 	}
-	first.stop() // it dies
+	first.stop() // the first host fails
 	next := newFakeHost()
 	s := startService(t.Cleanup, next, store)
 	seen := map[string]bool{}
 	for range 40 {
-		handed := within(c, next.handed)
-		c.Assert(handed.epoch > 1, qt.IsTrue)
-		seen[handed.id] = true
-		handed.end <- job.Outcome{Kind: job.Completed}
+		dispatched := within(c, next.dispatches)
+		c.Assert(dispatched.epoch > 1, qt.IsTrue)
+		seen[dispatched.id] = true
+		dispatched.end <- job.Outcome{Kind: job.Completed}
 	}
 	c.Assert(seen, qt.HasLen, 40)
 	eventually(c, s, "job07", kept.Completed)
 }
 
-func TestKeepWithoutAStore(t *testing.T) {
+func TestKeepWithFailingStore(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		fail     error
@@ -114,8 +114,8 @@
 			c := qt.New(t)
 			host, store := newFakeHost(), newFakeStore()
 			service := startService(t.Cleanup, host, store)
-			c.Assert(service.Keep(context.Background(), testJob(besides("a"))), qt.Equals, accepted)
-			within(c, host.handed)
+			c.Assert(service.Keep(context.Background(), testJob(samePartition("a"))), qt.Equals, accepted)
+			within(c, host.dispatches)
 			store.setFail(s.fail)
 			store.mu.Lock()
 			store.lose = s.lose
@@ -126,23 +126,23 @@
 	}
 }
 
-func TestACancelIsAnsweredOnceTheOwnerKnows(t *testing.T) {
+func TestCancelIsAnsweredAfterOwnerIsNotified(t *testing.T) {
 	c := qt.New(t)
 	host, store := newFakeHost(), newFakeStore()
 	s := startService(t.Cleanup, host, store)
 	s.Keep(context.Background(), testJob("a"))
-	within(c, host.handed)
+	within(c, host.dispatches)
 	c.Assert(s.Cancel(context.Background(), "a"), qt.Equals, kept.Answer{Verdict: kept.Accepted, State: kept.Cancelled})
-	c.Assert(len(host.words) > 0, qt.IsTrue)
-	c.Assert(within(c, host.words), qt.DeepEquals, OwnerNotice{Cell: "x", IDs: []string{"a"}, Cancelled: true})
+	c.Assert(len(host.notices) > 0, qt.IsTrue)
+	c.Assert(within(c, host.notices), qt.DeepEquals, OwnerNotice{Cell: "x", IDs: []string{"a"}, Cancelled: true})
 	c.Assert(s.Cancel(context.Background(), "b").Verdict, qt.Equals, kept.NotFound)
 
-	next := startService(t.Cleanup, newFakeHost(), store) // knows it by its row alone
+	next := startService(t.Cleanup, newFakeHost(), store) // knows the job only by its row
 	c.Assert(next.Cancel(context.Background(), "a"), qt.Equals, kept.Answer{Verdict: kept.Accepted, State: kept.Cancelled})
 	c.Assert(next.State(context.Background(), "a").State, qt.Equals, kept.Cancelled)
 }
 
-func TestTheFrontKeepsAJobThatItsKeeperCannot(t *testing.T) {
+func TestFrontKeepsJobIfCoordinatorCannot(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		answer   kept.Answer
@@ -150,16 +150,16 @@
 		verdict  kept.Verdict
 		here     bool
 	}{
-		{"the keeper keeps it", accepted, true, kept.Accepted, false},
-		{"the keeper is out of sight", kept.Answer{}, false, kept.Accepted, true},
-		{"the keeper has no store", kept.Answer{Verdict: kept.Refused}, true, kept.Accepted, true},
-		{"the keeper doesn't answer", kept.Answer{Verdict: kept.Unknown}, true, kept.Accepted, true},
+		{"the coordinator keeps it", accepted, true, kept.Accepted, false},
+		{"the coordinator is unreachable", kept.Answer{}, false, kept.Accepted, true},
+		{"the coordinator refuses it", kept.Answer{Verdict: kept.Refused}, true, kept.Accepted, true},
+		{"the coordinator does not answer", kept.Answer{Verdict: kept.Unknown}, true, kept.Accepted, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			host, store := newFakeHost(), newFakeStore()
-			host.keeper = CoordinatorHost{Address: "10.0.0.1:1"}
+			host.coordinator = CoordinatorHost{Address: "10.0.0.1:1"}
 			host.ask = func(string) (kept.Answer, bool) { return s.answer, s.sent }
 			service := startService(t.Cleanup, host, store)
 			c.Assert(service.Keep(context.Background(), testJob("a")).Verdict, qt.Equals, s.verdict)
@@ -168,24 +168,24 @@
 	}
 }
 
-func TestAJobThatItsKeeperMayHaveKeptIsNotRefused(t *testing.T) {
+func TestJobPossiblyKeptByCoordinatorIsNotRefused(t *testing.T) {
 	c := qt.New(t)
 	host, store := newFakeHost(), newFakeStore()
-	host.keeper = CoordinatorHost{Address: "10.0.0.1:1"}
+	host.coordinator = CoordinatorHost{Address: "10.0.0.1:1"}
 	host.ask = func(string) (kept.Answer, bool) { return kept.Answer{Verdict: kept.Unknown}, true }
 	store.setFail(errkind.New(errkind.PlatformDown, "try again", "down"))
 	s := startService(t.Cleanup, host, store)
 	c.Assert(s.Keep(context.Background(), testJob("a")).Verdict, qt.Equals, kept.Unknown)
 }
 
-func TestAJobThatComesTooLateIsRefusedUnlessItWasAccepted(t *testing.T) {
+func TestUnmeetableJobIsRefusedUnlessAccepted(t *testing.T) {
 	c := qt.New(t)
 	host, store := newFakeHost(), newFakeStore()
 	s := startService(t.Cleanup, host, store)
 	before := testJob("a")
 	before.Received = s.Clock.Now()
 	c.Assert(s.Keep(context.Background(), before), qt.Equals, accepted)
-	within(c, host.handed)
+	within(c, host.dispatches)
 	host.wait = time.Minute
 	c.Assert(s.Keep(context.Background(), before).Verdict, qt.Equals, kept.Accepted)
 	late := testJob("b")
@@ -196,82 +196,82 @@
 	c.Assert(s.Keep(context.Background(), late).Verdict, qt.Equals, kept.Unknown, qt.Commentf("it may have been accepted before"))
 }
 
-// A refusal says that the job isn't kept and never runs. It has to be true of all sendings
-// that the host knows of, and of an answer of another host that can't be read.
-func TestAJobThatMayBeKeptIsNotRefused(t *testing.T) {
-	type rig struct {
+// A refusal promises that the job never runs, so it must hold for all submissions that the
+// host knows of, and must not be the result of an answer that it cannot interpret.
+func TestUnresolvedJobIsNotRefused(t *testing.T) {
+	type fixture struct {
 		host  *fakeHost
 		store *fakeStore
 		s     *Service
 	}
-	keeperSays := func(r *rig, verdict kept.Verdict) {
+	coordinatorSays := func(r *fixture, verdict kept.Verdict) {
 		r.host.ask = func(string) (kept.Answer, bool) { return kept.Answer{Verdict: verdict}, verdict != 0 }
 	}
-	const outOfSight, notKnown kept.Verdict = 0, 77
-	mayHaveKept := func(id string) func(r *rig) {
-		return func(r *rig) {
+	const unreachable, unknownVerdict kept.Verdict = 0, 77
+	mayHaveKept := func(id string) func(r *fixture) {
+		return func(r *fixture) {
 			r.store.setFail(errkind.New(errkind.PlatformDown, "try again", "down"))
-			keeperSays(r, kept.Unknown)
+			coordinatorSays(r, kept.Unknown)
 			r.s.Keep(context.Background(), testJob(id))
 		}
 	}
 	scenarios := []struct {
 		testName string
-		before   func(r *rig)
-		then     func(r *rig)
+		before   func(r *fixture)
+		then     func(r *fixture)
 		verdict  kept.Verdict
 	}{
 		{
 			testName: "it was accepted, and no cell can run it now",
-			before:   func(r *rig) { r.s.Keep(context.Background(), testJob("a")) },
-			then:     func(r *rig) { r.host.noCell = true },
+			before:   func(r *fixture) { r.s.Keep(context.Background(), testJob("a")) },
+			then:     func(r *fixture) { r.host.noCell = true },
 			verdict:  kept.Accepted,
 		},
 		{
-			testName: "nobody knows it, and no cell can run it",
-			before:   func(*rig) {},
-			then:     func(r *rig) { r.host.noCell = true },
+			testName: "it is unknown, and no cell can run it",
+			before:   func(*fixture) {},
+			then:     func(r *fixture) { r.host.noCell = true },
 			verdict:  kept.Refused,
 		},
 		{
-			testName: "its keeper may have kept it, and is out of sight when it comes again",
+			testName: "its coordinator may have kept it, and is unreachable on resubmission",
 			before:   mayHaveKept("a"),
-			then:     func(r *rig) { keeperSays(r, outOfSight) },
+			then:     func(r *fixture) { coordinatorSays(r, unreachable) },
 			verdict:  kept.Unknown,
 		},
 		{
-			testName: "its keeper may have kept it, and refuses it when it comes again",
+			testName: "its coordinator may have kept it, and refuses it on resubmission",
 			before:   mayHaveKept("a"),
-			then:     func(r *rig) { keeperSays(r, kept.Refused) },
+			then:     func(r *fixture) { coordinatorSays(r, kept.Refused) },
 			verdict:  kept.Unknown,
 		},
 		{
-			testName: "its keeper may have kept it, and keeps it when it comes again",
+			testName: "its coordinator may have kept it, and keeps it on resubmission",
 			before:   mayHaveKept("a"),
-			then:     func(r *rig) { keeperSays(r, kept.Accepted) },
+			then:     func(r *fixture) { coordinatorSays(r, kept.Accepted) },
 			verdict:  kept.Accepted,
 		},
 		{
-			testName: "its keeper may have kept another job",
+			testName: "its coordinator may have kept another job",
 			before:   mayHaveKept("b"),
-			then:     func(r *rig) { keeperSays(r, outOfSight) },
+			then:     func(r *fixture) { coordinatorSays(r, unreachable) },
 			verdict:  kept.Refused,
 		},
 		{
-			testName: "its keeper answers by a verdict that isn't known",
+			testName: "its coordinator answers with an unknown verdict",
 			before:   mayHaveKept("b"),
-			then:     func(r *rig) { keeperSays(r, notKnown) },
+			then:     func(r *fixture) { coordinatorSays(r, unknownVerdict) },
 			verdict:  kept.Unknown,
 		},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			r := &rig{host: newFakeHost(), store: newFakeStore()}
-			r.host.keeper = CoordinatorHost{Address: "10.0.0.1:1"}
-			keeperSays(r, outOfSight)
+			r := &fixture{host: newFakeHost(), store: newFakeStore()}
+			r.host.coordinator = CoordinatorHost{Address: "10.0.0.1:1"}
+			coordinatorSays(r, unreachable)
 			r.s = startService(t.Cleanup, r.host, r.store)
-			c.Assert(r.s.Keep(context.Background(), testJob(besides("a"))), qt.Equals, accepted)
+			c.Assert(r.s.Keep(context.Background(), testJob(samePartition("a"))), qt.Equals, accepted)
 			s.before(r)
 			s.then(r)
 			c.Assert(r.s.Keep(context.Background(), testJob("a")).Verdict, qt.Equals, s.verdict)
@@ -279,92 +279,92 @@
 	}
 }
 
-// A caller that cancels a job counts on it that nothing of it starts later. A keeper that
-// doesn't know the job can't say so for a host that has a write of it under way.
-func TestAJobThatMayBeKeptIsNotGoneForOneThatCancelsIt(t *testing.T) {
-	gone := kept.Answer{Verdict: kept.NotFound}
+// A cancel that is answered with NotFound promises that no task of the job starts later,
+// which the coordinator cannot promise for a host with a write in flight.
+func TestCancelOfUnresolvedJobIsNotNotFound(t *testing.T) {
+	notFound := kept.Answer{Verdict: kept.NotFound}
 	scenarios := []struct {
-		testName string
-		fail     error // of the store while the job comes
-		keeper   kept.Answer
-		sent     bool
-		verdict  kept.Verdict
+		testName    string
+		fail        error // of the store during the submission
+		coordinator kept.Answer
+		sent        bool
+		verdict     kept.Verdict
 	}{
-		{"its keeper may have kept it, and is out of sight", errkind.New(errkind.PlatformDown, "try again", "down"), kept.Answer{}, false, kept.Unknown},
-		{"its keeper may have kept it, and says that it is gone", errkind.New(errkind.PlatformDown, "try again", "down"), gone, true, kept.Unknown},
-		{"this host may have written it, and its keeper says that it is gone", errkind.New(errkind.PlatformMaybe, "try again", "silent"), gone, true, kept.Accepted},
+		{"its coordinator may have kept it, and is unreachable", errkind.New(errkind.PlatformDown, "try again", "down"), kept.Answer{}, false, kept.Unknown},
+		{"its coordinator may have kept it, and answers not found", errkind.New(errkind.PlatformDown, "try again", "down"), notFound, true, kept.Unknown},
+		{"this host may have written it, and its coordinator answers not found", errkind.New(errkind.PlatformMaybe, "try again", "silent"), notFound, true, kept.Accepted},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			host, store := newFakeHost(), newFakeStore()
-			host.keeper = CoordinatorHost{Address: "10.0.0.1:1"}
+			host.coordinator = CoordinatorHost{Address: "10.0.0.1:1"}
 			host.ask = func(string) (kept.Answer, bool) { return kept.Answer{}, false }
 			service := startService(t.Cleanup, host, store)
-			c.Assert(service.Keep(context.Background(), testJob(besides("a"))), qt.Equals, accepted)
+			c.Assert(service.Keep(context.Background(), testJob(samePartition("a"))), qt.Equals, accepted)
 			store.setFail(s.fail)
 			host.ask = func(string) (kept.Answer, bool) { return kept.Answer{Verdict: kept.Unknown}, true }
 			c.Assert(service.Keep(context.Background(), testJob("a")).Verdict, qt.Equals, kept.Unknown)
 			store.setFail(nil)
-			host.ask = func(string) (kept.Answer, bool) { return s.keeper, s.sent }
+			host.ask = func(string) (kept.Answer, bool) { return s.coordinator, s.sent }
 			c.Assert(service.Cancel(context.Background(), "a").Verdict, qt.Equals, s.verdict)
 		})
 	}
 }
 
-func TestWhatBecomesOfAJobThatComesBack(t *testing.T) {
+func TestReturnedJobIsDispatchedAgain(t *testing.T) {
 	c := qt.New(t)
 	host, store := newFakeHost(), newFakeStore()
 	s := startService(t.Cleanup, host, store)
 	s.Keep(context.Background(), testJob("a"))
-	handed := within(c, host.handed)
-	handed.end <- job.Outcome{Kind: job.Lost}
-	again := within(c, host.handed)
+	dispatched := within(c, host.dispatches)
+	dispatched.end <- job.Outcome{Kind: job.Lost}
+	again := within(c, host.dispatches)
 	c.Assert(again.cell, qt.Equals, "x")
-	c.Assert(again.epoch > handed.epoch, qt.IsTrue)
+	c.Assert(again.epoch > dispatched.epoch, qt.IsTrue)
 	again.end <- job.Outcome{Kind: job.Moved, Reason: "fenced", Started: true, Progress: []job.Progress{{Done: true, Run: 7}}}
-	third := within(c, host.handed)
+	third := within(c, host.dispatches)
 	c.Assert(third.epoch > again.epoch, qt.IsTrue)
 	third.end <- job.Outcome{Kind: job.Failed}
 	eventually(c, s, "a", kept.Failed)
 }
 
-func TestAClosedCellGivesAKeptJobToAnotherOne(t *testing.T) {
+func TestJobMovesFromClosedCell(t *testing.T) {
 	c := qt.New(t)
 	host, store := newFakeHost(), newFakeStore()
 	s := startService(t.Cleanup, host, store)
 	p := s.partitionOf("a")
 	record := kept.Record{ID: "a", Cell: "closed", Job: encodeJob(testJob("a"), nil)}
-	_, known := p.call(context.Background(), func(k *kept.Coordinator, number uint64, until, now time.Duration) bool {
-		k.Accept(number, record, until, now)
+	_, known := p.call(context.Background(), func(co *kept.Coordinator, number uint64, deadline, now time.Duration) bool {
+		co.Accept(number, record, deadline, now)
 		return true
 	})
 	c.Assert(known, qt.IsTrue)
-	handed := within(c, host.handed)
-	c.Assert(handed.cell, qt.Equals, "closed")
-	handed.end <- job.Outcome{Kind: job.Moved, Reason: cell.ReasonClosed, Progress: []job.Progress{{Done: true, Run: 3}}}
-	c.Assert(within(c, host.words), qt.DeepEquals, OwnerNotice{Cell: "closed", IDs: []string{"a"}, Moved: true})
-	c.Assert(within(c, host.handed).cell, qt.Equals, "x")
+	dispatched := within(c, host.dispatches)
+	c.Assert(dispatched.cell, qt.Equals, "closed")
+	dispatched.end <- job.Outcome{Kind: job.Moved, Reason: cell.ReasonClosed, Progress: []job.Progress{{Done: true, Run: 3}}}
+	c.Assert(within(c, host.notices), qt.DeepEquals, OwnerNotice{Cell: "closed", IDs: []string{"a"}, Moved: true})
+	c.Assert(within(c, host.dispatches).cell, qt.Equals, "x")
 	row, _, err := store.ReadRow(context.Background(), kept.TableOpen, p.part, "a")
 	c.Assert(err, qt.IsNil)
 	moved, err := codec{}.DecodeRecord("a", row.Value)
 	c.Assert(err, qt.IsNil)
 	c.Assert(moved.From, qt.Equals, "closed")
 	_, progress := jobOf(&moved, 0, time.Second)
-	c.Assert(progress, qt.DeepEquals, []job.Progress{{Done: true, Run: 3}}, qt.Commentf("it lasts with the move"))
+	c.Assert(progress, qt.DeepEquals, []job.Progress{{Done: true, Run: 3}}, qt.Commentf("the progress is stored with the move"))
 }
 
-func TestProgressIsWrittenBeforeTheOwnerHearsSo(t *testing.T) {
+func TestOwnerIsNotifiedAfterCheckpointIsStored(t *testing.T) {
 	c := qt.New(t)
 	host, store := newFakeHost(), newFakeStore()
 	s := startService(t.Cleanup, host, store)
 	s.Keep(context.Background(), testJob("a"))
-	handed := within(c, host.handed)
-	handed.end <- job.Outcome{Kind: job.Moved, Reason: ReasonProgress, Started: true, Progress: []job.Progress{{Done: true, Run: 501}}}
-	again := within(c, host.handed)
-	c.Assert(again.cell, qt.Equals, "x", qt.Commentf("the owner has it, and is asked again"))
-	c.Assert(within(c, host.words), qt.DeepEquals, OwnerNotice{Cell: "x", IDs: []string{"a"}, Progress: 1})
-	c.Assert(host.handed, qt.HasLen, 0, qt.Commentf("its follower wasn't replaced"))
+	dispatched := within(c, host.dispatches)
+	dispatched.end <- job.Outcome{Kind: job.Moved, Reason: ReasonProgress, Started: true, Progress: []job.Progress{{Done: true, Run: 501}}}
+	again := within(c, host.dispatches)
+	c.Assert(again.cell, qt.Equals, "x", qt.Commentf("the job stays at its owner"))
+	c.Assert(within(c, host.notices), qt.DeepEquals, OwnerNotice{Cell: "x", IDs: []string{"a"}, Progress: 1})
+	c.Assert(host.dispatches, qt.HasLen, 0, qt.Commentf("the follower was not replaced"))
 	row, _, err := store.ReadRow(context.Background(), kept.TableOpen, s.partitionOf("a").part, "a")
 	c.Assert(err, qt.IsNil)
 	record, err := codec{}.DecodeRecord("a", row.Value)
@@ -375,24 +375,24 @@
 	eventually(c, s, "a", kept.Completed)
 }
 
-func TestACutOffKeeperAsksForNothing(t *testing.T) {
+func TestIsolatedHostDispatchesNothing(t *testing.T) {
 	c := qt.New(t)
 	host, store := newFakeHost(), newFakeStore()
 	s := startService(t.Cleanup, host, store)
 	s.Keep(context.Background(), testJob("a"))
-	within(c, host.handed)
-	host.fewSeen.Store(true)
+	within(c, host.dispatches)
+	host.seesMinority.Store(true)
 	s.probe(context.Background())
-	c.Assert(s.reach.silent(s.Clock.Now()), qt.IsFalse, qt.Commentf("the store answers"))
-	c.Assert(s.reach.silent(s.Clock.Now()+cutOffTime+time.Second), qt.IsTrue)
-	s.setCutOff(true)
-	time.Sleep(3 * ownerRecheck)
-	c.Assert(host.handed, qt.HasLen, 0)
-	s.setCutOff(false)
-	c.Assert(within(c, host.handed).epoch > 1, qt.IsTrue)
+	c.Assert(s.storeReach.isUnresponsive(s.Clock.Now()), qt.IsFalse, qt.Commentf("the store answers"))
+	c.Assert(s.storeReach.isUnresponsive(s.Clock.Now()+isolationTimeout+time.Second), qt.IsTrue)
+	s.setIsolated(true)
+	time.Sleep(3 * ownerCheckInterval)
+	c.Assert(host.dispatches, qt.HasLen, 0)
+	s.setIsolated(false)
+	c.Assert(within(c, host.dispatches).epoch > 1, qt.IsTrue)
 }
 
-func TestRowsOfOtherWritersAreErrors(t *testing.T) {
+func TestForeignRowsAreDecodeErrors(t *testing.T) {
 	c := qt.New(t)
 	record := kept.Record{ID: "a", Cell: "x", From: "y", AcceptedAt: time.Second, Epoch: 3, Job: encodeJob(testJob("a"), nil)}
 	value := codec{}.EncodeRecord(record)
@@ -412,14 +412,14 @@
 	c.Assert(end, qt.Equals, kept.End{State: kept.Cancelled, Cell: "x", At: time.Second})
 }
 
-func TestAHostWithoutKeptJobsLooksAfterThemRarely(t *testing.T) {
+func TestTickIntervalDependsOnOpenJobs(t *testing.T) {
 	c := qt.New(t)
 	host, store := newFakeHost(), newFakeStore()
 	s := startService(t.Cleanup, host, store)
 	c.Assert(s.pause(), qt.Equals, viewInterval)
 	c.Assert(s.Keep(context.Background(), testJob("a")), qt.Equals, accepted)
 	c.Assert(s.pause(), qt.Equals, tickInterval)
-	within(c, host.handed).end <- job.Outcome{Kind: job.Completed}
-	within(c, host.words) // its owner has been told
+	within(c, host.dispatches).end <- job.Outcome{Kind: job.Completed}
+	within(c, host.notices) // the owner has been notified
 	c.Assert(s.pause(), qt.Equals, viewInterval)
 }
--- a/pkg/kept/answer.go
+++ b/pkg/kept/answer.go
@@ -1,18 +1,18 @@
-// Package kept decides for jobs that are kept: accepted once, written to the
-// platform's tables before the caller is told so, run to their end whichever hosts
-// die, and told at any host. It does no I/O.
+// Package kept holds the decision logic for kept jobs: durable jobs that run to completion
+// whether or not their callers wait. A job is written to the platform's tables before its
+// caller gets the answer, runs to its end even if hosts fail, and can be queried at any
+// host. The package does no I/O.
 package kept
 
 import "time"
 
-// Verdict is what became of a call about a kept job.
+// Verdict is the result of a call about a kept job.
 type Verdict uint8
 
-// The verdicts.
 const (
-	Accepted Verdict = iota + 1 // the job lasts; for a cancel: the cancelling lasts
-	Refused                     // the job isn't kept and nothing of it runs
-	Unknown                     // it may have been kept: the caller may send the call again
+	Accepted Verdict = iota + 1 // the job is stored; of a cancel: the cancellation is stored
+	Refused                     // the job is not kept and no part of it runs
+	Unknown                     // the job may have been kept; the caller may repeat the call
 	NotFound                    // there is no such job
 )
 
@@ -26,10 +26,9 @@
 	return "none"
 }
 
-// State is how far a kept job is.
+// State is the state of a kept job.
 type State uint8
 
-// The states of a job.
 const (
 	Queued State = iota + 1
 	Running
@@ -54,7 +53,7 @@
 // Answer is the answer to a call about a kept job.
 type Answer struct {
 	Verdict    Verdict
-	State      State         // of the job, when it is known
+	State      State         // of the job, if known
 	Reason     string        // of Refused and Unknown, for logs and callers
-	RetryAfter time.Duration // of Refused and Unknown: when to come back
+	RetryAfter time.Duration // of Refused and Unknown: when the caller may retry
 }
--- a/pkg/kept/change.go
+++ b/pkg/kept/change.go
@@ -6,41 +6,41 @@
 	"github.com/foxcroft/foxcroft/pkg/tables"
 )
 
-// changeKind tells changes of a job's rows apart.
+// changeKind is the kind of a change to a job's rows.
 type changeKind uint8
 
 const (
-	accept changeKind = iota // the job is taken in
-	end                      // it leaves the open jobs for the ended ones
-	move                     // another cell is to run it
+	accept changeKind = iota // insert the row of an accepted job
+	end                      // replace the open row by an ended row
+	move                     // rewrite the open row: another cell runs the job, or its progress is saved
 )
 
-// change is a change of one job's rows. It holds the conditions for both of them,
-// so that a refusal tells the job's whole state, and a change that is carried out
-// late can't undo what came after it.
+// change is a change to the rows of one job. Its conditions cover both the open and the
+// ended row, so that a conflict returns the full state of the job, and a change that the
+// store applies late cannot overwrite a later one.
 type change struct {
 	kind    changeKind
 	id      string
-	version uint64 // that the row of the open job must have; 0 for absent
+	version uint64 // that the open row must have; 0 for absent
 	record  Record // of accept and move
 	state   State  // of end
-	cell    string // likewise
+	cell    string // of end
 }
 
-// conditions returns what must hold for the change.
+// conditions returns the row versions that the change requires.
 func (c *change) conditions() []tables.Condition {
 	return []tables.Condition{{Table: TableOpen, Key: c.id, Version: c.version}, {Table: TableEnded, Key: c.id}}
 }
 
-// entries returns how many entries of a transaction the change takes.
+// entries returns the number of transaction entries that the change needs.
 func (c *change) entries() int {
 	if c.kind == end {
-		return 4 // two conditions, a row put, one removed
+		return 4 // two conditions, one put, one removal
 	}
 	return 3
 }
 
-// addTo puts the change into a transaction.
+// addTo adds the change to a transaction.
 func (c *change) addTo(t *tables.Transaction, codec Codec, at time.Duration) {
 	t.Expect = append(t.Expect, c.conditions()...)
 	if c.kind != end {
@@ -51,9 +51,10 @@
 	t.Put = append(t.Put, tables.Row{Table: TableEnded, Key: c.id, Value: codec.EncodeEnd(End{State: c.state, Cell: c.cell, At: at})})
 }
 
-// refusedBy reports whether the rows as they are keep the change from being made.
-func (c *change) refusedBy(rows []tables.Row) bool {
-	open, _ := rowIn(rows, TableOpen, c.id)
-	_, ended := rowIn(rows, TableEnded, c.id)
+// conflictsWith reports whether the job's current rows violate the conditions of the
+// change.
+func (c *change) conflictsWith(rows []tables.Row) bool {
+	open, _ := findRow(rows, TableOpen, c.id)
+	_, ended := findRow(rows, TableEnded, c.id)
 	return ended || open.Version != c.version
 }
--- a/pkg/kept/coordinator_test.go
+++ b/pkg/kept/coordinator_test.go
@@ -9,106 +9,106 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// bench is a keeper beside a store, without faults of their own.
-type bench struct {
-	keeper *Coordinator
-	store  *modelStore
-	now    time.Duration
+// fixture is a coordinator with a store that injects no faults.
+type fixture struct {
+	coordinator *Coordinator
+	store       *modelStore
+	now         time.Duration
 }
 
-func newBench() *bench {
-	b := &bench{keeper: NewCoordinator("p00", jsonCodec{}, &Health{}), store: newModelStore(), now: time.Second}
-	b.keeper.ObserveClock(b.now, b.now)
-	return b
+func newFixture() *fixture {
+	f := &fixture{coordinator: NewCoordinator("p00", jsonCodec{}, &Health{}), store: newModelStore(), now: time.Second}
+	f.coordinator.ObserveClock(f.now, f.now)
+	return f
 }
 
 func record(id string) Record { return Record{ID: id, Cell: "x", Job: []byte(id)} }
 
-// next lets a group go out and returns it.
-func (b *bench) next(c *qt.C) tables.Transaction {
-	b.now += longestGap
-	t, ok := b.keeper.Next(b.now)
+// next returns the next group, sent after the longest gap.
+func (f *fixture) next(c *qt.C) tables.Transaction {
+	f.now += maxGap
+	t, ok := f.coordinator.Next(f.now)
 	c.Assert(ok, qt.IsTrue)
 	return t
 }
 
-// write has the store carry the next group out.
-func (b *bench) write(c *qt.C) {
-	result, err := b.store.commit(b.next(c), b.now)
-	b.keeper.Committed(result, err, b.now)
+// write commits the next group.
+func (f *fixture) write(c *qt.C) {
+	result, err := f.store.commit(f.next(c), f.now)
+	f.coordinator.Committed(result, err, f.now)
 }
 
-// accepted makes a job that lasts, and returns the bench with nothing to take.
-func accepted(c *qt.C, id string) *bench {
-	b := newBench()
-	b.keeper.Accept(1, record(id), b.now+time.Minute, b.now)
-	b.write(c)
-	c.Assert(b.keeper.TakeEffects().Answers, qt.DeepEquals, []CallAnswer{{Call: 1, Answer: Answer{Verdict: Accepted, State: Queued}}})
-	return b
+// newAccepted returns a fixture with an accepted job and no pending effects.
+func newAccepted(c *qt.C, id string) *fixture {
+	f := newFixture()
+	f.coordinator.Accept(1, record(id), f.now+time.Minute, f.now)
+	f.write(c)
+	c.Assert(f.coordinator.TakeEffects().Answers, qt.DeepEquals, []CallAnswer{{Call: 1, Answer: Answer{Verdict: Accepted, State: Queued}}})
+	return f
 }
 
 func TestAcceptAnswers(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		answer   func(b *bench, c *qt.C) // what becomes of the first group
-		verdict  Verdict                 // 0: none yet
-		epoch    int                     // with which it is followed; 0 for not at all
+		answer   func(f *fixture, c *qt.C) // drives the first group
+		verdict  Verdict                   // 0: no answer yet
+		epoch    int                       // of the follow request; 0 for none
 	}{
-		{"it is written", func(b *bench, c *qt.C) { b.write(c) }, Accepted, firstEpoch},
-		{"nothing was done once", func(b *bench, c *qt.C) {
-			b.next(c)
-			b.keeper.Committed(tables.Result{}, errDown, b.now)
+		{"the write succeeds", func(f *fixture, c *qt.C) { f.write(c) }, Accepted, firstEpoch},
+		{"one write fails", func(f *fixture, c *qt.C) {
+			f.next(c)
+			f.coordinator.Committed(tables.Result{}, errDown, f.now)
 		}, 0, 0},
-		{"nothing was done twice", func(b *bench, c *qt.C) {
+		{"two writes fail", func(f *fixture, c *qt.C) {
 			for range 2 {
-				b.next(c)
-				b.keeper.Committed(tables.Result{}, errDown, b.now)
+				f.next(c)
+				f.coordinator.Committed(tables.Result{}, errDown, f.now)
 			}
 		}, Refused, 0},
-		{"the answer is lost and nothing was done", func(b *bench, c *qt.C) {
-			b.next(c)
-			b.keeper.Committed(tables.Result{}, errMaybe, b.now)
+		{"the answer is lost", func(f *fixture, c *qt.C) {
+			f.next(c)
+			f.coordinator.Committed(tables.Result{}, errMaybe, f.now)
 		}, 0, 0},
-		{"the answer is lost, and then nothing can be done", func(b *bench, c *qt.C) {
-			b.next(c)
-			b.keeper.Committed(tables.Result{}, errMaybe, b.now)
+		{"the answer is lost, and then all writes fail", func(f *fixture, c *qt.C) {
+			f.next(c)
+			f.coordinator.Committed(tables.Result{}, errMaybe, f.now)
 			for range 5 {
-				b.next(c)
-				b.keeper.Committed(tables.Result{}, errDown, b.now)
+				f.next(c)
+				f.coordinator.Committed(tables.Result{}, errDown, f.now)
 			}
 		}, 0, 0},
-		{"the answer is lost, and its caller doesn't wait for the next one", func(b *bench, c *qt.C) {
-			b.next(c)
-			b.keeper.Committed(tables.Result{}, errMaybe, b.now)
-			b.now += time.Hour
-			b.keeper.Expire(b.now)
+		{"the answer is lost, and the call expires", func(f *fixture, c *qt.C) {
+			f.next(c)
+			f.coordinator.Committed(tables.Result{}, errMaybe, f.now)
+			f.now += time.Hour
+			f.coordinator.Expire(f.now)
 		}, Unknown, 0},
-		{"its caller doesn't wait until anything is written", func(b *bench, _ *qt.C) {
-			b.now += time.Hour
-			b.keeper.Expire(b.now)
+		{"the call expires before the first write", func(f *fixture, _ *qt.C) {
+			f.now += time.Hour
+			f.coordinator.Expire(f.now)
 		}, Refused, 0},
-		{"the answer is lost and it was done", func(b *bench, c *qt.C) {
-			_, err := b.store.commit(b.next(c), b.now)
+		{"the answer is lost, but the write was applied", func(f *fixture, c *qt.C) {
+			_, err := f.store.commit(f.next(c), f.now)
 			c.Assert(err, qt.IsNil)
-			b.keeper.Committed(tables.Result{}, errMaybe, b.now)
-			b.write(c)
-		}, Accepted, 2 + int(longestGap/epochTime)},
-		{"another keeper has accepted it", func(b *bench, c *qt.C) {
-			b.store.commit(tables.Transaction{Put: []tables.Row{{Table: TableOpen, Key: "a", Value: encode(Record{ID: "a", Cell: "y", AcceptedAt: b.now})}}}, b.now)
-			b.write(c)
-		}, Accepted, 2 + int(longestGap/epochTime)},
-		{"it has ended long ago", func(b *bench, c *qt.C) {
-			b.store.commit(tables.Transaction{Put: []tables.Row{{Table: TableEnded, Key: "a", Value: encode(End{State: Completed})}}}, b.now)
-			b.write(c)
+			f.coordinator.Committed(tables.Result{}, errMaybe, f.now)
+			f.write(c)
+		}, Accepted, 2 + int(maxGap/epochInterval)},
+		{"another coordinator has accepted it", func(f *fixture, c *qt.C) {
+			f.store.commit(tables.Transaction{Put: []tables.Row{{Table: TableOpen, Key: "a", Value: encode(Record{ID: "a", Cell: "y", AcceptedAt: f.now})}}}, f.now)
+			f.write(c)
+		}, Accepted, 2 + int(maxGap/epochInterval)},
+		{"it ended long ago", func(f *fixture, c *qt.C) {
+			f.store.commit(tables.Transaction{Put: []tables.Row{{Table: TableEnded, Key: "a", Value: encode(End{State: Completed})}}}, f.now)
+			f.write(c)
 		}, Accepted, 0},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			b := newBench()
-			b.keeper.Accept(1, record("a"), b.now+time.Minute, b.now)
-			s.answer(b, c)
-			effects := b.keeper.TakeEffects()
+			f := newFixture()
+			f.coordinator.Accept(1, record("a"), f.now+time.Minute, f.now)
+			s.answer(f, c)
+			effects := f.coordinator.TakeEffects()
 			var verdict Verdict
 			for _, answer := range effects.Answers {
 				verdict = answer.Answer.Verdict
@@ -123,123 +123,123 @@
 	}
 }
 
-func TestAJobWhoseFateIsOpenIsNeverRefused(t *testing.T) {
+func TestUnresolvedJobIsNeverRefused(t *testing.T) {
 	c := qt.New(t)
-	b := newBench()
-	b.keeper.Accept(1, record("a"), b.now+time.Minute, b.now)
-	late := b.next(c)
-	b.keeper.Committed(tables.Result{}, errMaybe, b.now)
-	b.keeper.Committed(tables.Result{}, errDown, b.now)
-	b.keeper.Accept(2, record("a"), b.now+time.Minute, b.now)
+	f := newFixture()
+	f.coordinator.Accept(1, record("a"), f.now+time.Minute, f.now)
+	late := f.next(c)
+	f.coordinator.Committed(tables.Result{}, errMaybe, f.now)
+	f.coordinator.Committed(tables.Result{}, errDown, f.now)
+	f.coordinator.Accept(2, record("a"), f.now+time.Minute, f.now)
 	for range 4 {
-		b.next(c)
-		b.keeper.Committed(tables.Result{}, errDown, b.now)
+		f.next(c)
+		f.coordinator.Committed(tables.Result{}, errDown, f.now)
 	}
-	c.Assert(b.keeper.TakeEffects().Answers, qt.HasLen, 0)
-	_, err := b.store.commit(late, b.now) // it is done seconds later
+	c.Assert(f.coordinator.TakeEffects().Answers, qt.HasLen, 0)
+	_, err := f.store.commit(late, f.now) // the unanswered write is applied late
 	c.Assert(err, qt.IsNil)
-	b.write(c)
-	c.Assert(b.keeper.TakeEffects().Answers, qt.HasLen, 2)
+	f.write(c)
+	c.Assert(f.coordinator.TakeEffects().Answers, qt.HasLen, 2)
 }
 
-func TestNewJobsAreRefusedAtOnceWhileTheStoreIsDown(t *testing.T) {
+func TestNewJobsAreRefusedWhileStoreIsDown(t *testing.T) {
 	c := qt.New(t)
-	b := newBench()
+	f := newFixture()
 	for i, id := range []string{"a", "b"} {
-		b.keeper.Accept(uint64(i), record(id), b.now+time.Minute, b.now)
-		for range mostTries {
-			b.next(c)
-			b.keeper.Committed(tables.Result{}, errDown, b.now)
+		f.coordinator.Accept(uint64(i), record(id), f.now+time.Minute, f.now)
+		for range maxAttempts {
+			f.next(c)
+			f.coordinator.Committed(tables.Result{}, errDown, f.now)
 		}
 	}
-	b.keeper.TakeEffects()
-	b.keeper.Accept(2, record("c"), b.now+time.Minute, b.now)
-	c.Assert(b.keeper.TakeEffects().Answers, qt.DeepEquals, []CallAnswer{{Call: 2, Answer: refusal(ReasonStoreDown)}})
-	b.now += longestGap
-	b.keeper.Accept(3, record("d"), b.now+time.Minute, b.now)
-	b.write(c)
-	c.Assert(b.keeper.TakeEffects().Answers, qt.HasLen, 1, qt.Commentf("one of them tries whether the store serves again"))
-	b.keeper.Accept(4, record("e"), b.now+time.Minute, b.now)
-	c.Assert(b.keeper.TakeEffects().Answers, qt.HasLen, 0, qt.Commentf("it does"))
+	f.coordinator.TakeEffects()
+	f.coordinator.Accept(2, record("c"), f.now+time.Minute, f.now)
+	c.Assert(f.coordinator.TakeEffects().Answers, qt.DeepEquals, []CallAnswer{{Call: 2, Answer: refusal(ReasonStoreDown)}})
+	f.now += maxGap
+	f.coordinator.Accept(3, record("d"), f.now+time.Minute, f.now)
+	f.write(c)
+	c.Assert(f.coordinator.TakeEffects().Answers, qt.HasLen, 1, qt.Commentf("one of them probes the store"))
+	f.coordinator.Accept(4, record("e"), f.now+time.Minute, f.now)
+	c.Assert(f.coordinator.TakeEffects().Answers, qt.HasLen, 0, qt.Commentf("the store is up again"))
 }
 
-func TestEndsAndCancels(t *testing.T) {
+func TestFinishAndCancel(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		events   func(b *bench, c *qt.C)
+		events   func(f *fixture, c *qt.C)
 		ended    State
 		cancels  []Verdict
 	}{
-		{"it completes", func(b *bench, c *qt.C) {
-			b.keeper.Finish("a", Completed)
-			b.write(c)
+		{"it completes", func(f *fixture, c *qt.C) {
+			f.coordinator.Finish("a", Completed)
+			f.write(c)
 		}, Completed, nil},
-		{"it is cancelled", func(b *bench, c *qt.C) {
-			b.keeper.Cancel(9, "a", b.now+time.Minute, b.now)
-			b.write(c)
+		{"it is cancelled", func(f *fixture, c *qt.C) {
+			f.coordinator.Cancel(9, "a", f.now+time.Minute, f.now)
+			f.write(c)
 		}, Cancelled, []Verdict{Accepted}},
-		{"it is cancelled twice", func(b *bench, c *qt.C) {
-			b.keeper.Cancel(9, "a", b.now+time.Minute, b.now)
-			b.keeper.Cancel(9, "a", b.now+time.Minute, b.now)
-			b.write(c)
-			b.keeper.Cancel(9, "a", b.now+time.Minute, b.now)
+		{"it is cancelled twice", func(f *fixture, c *qt.C) {
+			f.coordinator.Cancel(9, "a", f.now+time.Minute, f.now)
+			f.coordinator.Cancel(9, "a", f.now+time.Minute, f.now)
+			f.write(c)
+			f.coordinator.Cancel(9, "a", f.now+time.Minute, f.now)
 		}, Cancelled, []Verdict{Accepted, Accepted, Accepted}},
-		{"it completes while it is being cancelled", func(b *bench, c *qt.C) {
-			b.keeper.Cancel(9, "a", b.now+time.Minute, b.now)
-			b.keeper.Finish("a", Completed)
-			b.write(c)
+		{"it completes while it is being cancelled", func(f *fixture, c *qt.C) {
+			f.coordinator.Cancel(9, "a", f.now+time.Minute, f.now)
+			f.coordinator.Finish("a", Completed)
+			f.write(c)
 		}, Cancelled, []Verdict{Accepted}},
-		{"it is cancelled while its end is written", func(b *bench, c *qt.C) {
-			b.keeper.Finish("a", Completed)
-			b.keeper.Cancel(9, "a", b.now+time.Minute, b.now)
-			b.write(c)
+		{"it is cancelled while its end is written", func(f *fixture, c *qt.C) {
+			f.coordinator.Finish("a", Completed)
+			f.coordinator.Cancel(9, "a", f.now+time.Minute, f.now)
+			f.write(c)
 		}, Completed, []Verdict{Accepted}},
-		{"the answer to its end is lost", func(b *bench, c *qt.C) {
-			b.keeper.Finish("a", Failed)
-			_, err := b.store.commit(b.next(c), b.now)
+		{"the answer to its end is lost", func(f *fixture, c *qt.C) {
+			f.coordinator.Finish("a", Failed)
+			_, err := f.store.commit(f.next(c), f.now)
 			c.Assert(err, qt.IsNil)
-			b.keeper.Committed(tables.Result{}, errMaybe, b.now)
-			b.write(c)
+			f.coordinator.Committed(tables.Result{}, errMaybe, f.now)
+			f.write(c)
 		}, Failed, nil},
-		{"another keeper has ended it", func(b *bench, c *qt.C) {
-			b.store.commit(tables.Transaction{
+		{"another coordinator has ended it", func(f *fixture, c *qt.C) {
+			f.store.commit(tables.Transaction{
 				Remove: []tables.Condition{{Table: TableOpen, Key: "a"}},
 				Put:    []tables.Row{{Table: TableEnded, Key: "a", Value: encode(End{State: Cancelled, Cell: "x"})}},
-			}, b.now)
-			b.keeper.Finish("a", Completed)
-			b.write(c)
+			}, f.now)
+			f.coordinator.Finish("a", Completed)
+			f.write(c)
 		}, Cancelled, nil},
-		{"another keeper has moved it", func(b *bench, c *qt.C) {
-			b.store.commit(tables.Transaction{Put: []tables.Row{{Table: TableOpen, Key: "a", Value: encode(record("a"))}}}, b.now)
-			b.keeper.Finish("a", Completed)
-			b.write(c)
-			b.write(c)
+		{"another coordinator has moved it", func(f *fixture, c *qt.C) {
+			f.store.commit(tables.Transaction{Put: []tables.Row{{Table: TableOpen, Key: "a", Value: encode(record("a"))}}}, f.now)
+			f.coordinator.Finish("a", Completed)
+			f.write(c)
+			f.write(c)
 		}, Completed, nil},
-		{"the store is down for long", func(b *bench, c *qt.C) {
-			b.keeper.Finish("a", Completed)
+		{"the store is down for long", func(f *fixture, c *qt.C) {
+			f.coordinator.Finish("a", Completed)
 			for range 10 {
-				b.next(c)
-				b.keeper.Committed(tables.Result{}, errDown, b.now)
+				f.next(c)
+				f.coordinator.Committed(tables.Result{}, errDown, f.now)
 			}
-			b.write(c)
+			f.write(c)
 		}, Completed, nil},
-		{"a cancel outlasts its caller", func(b *bench, c *qt.C) {
-			b.keeper.Cancel(9, "a", b.now+time.Second, b.now)
-			b.next(c)
-			b.keeper.Committed(tables.Result{}, errMaybe, b.now)
-			b.now += time.Second
-			b.keeper.Expire(b.now)
-			b.write(c)
+		{"a cancel completes after its call expired", func(f *fixture, c *qt.C) {
+			f.coordinator.Cancel(9, "a", f.now+time.Second, f.now)
+			f.next(c)
+			f.coordinator.Committed(tables.Result{}, errMaybe, f.now)
+			f.now += time.Second
+			f.coordinator.Expire(f.now)
+			f.write(c)
 		}, Cancelled, []Verdict{Unknown}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			b := accepted(c, "a")
-			s.events(b, c)
-			effects := b.keeper.TakeEffects()
+			f := newAccepted(c, "a")
+			s.events(f, c)
+			effects := f.coordinator.TakeEffects()
 			c.Assert(effects.Ended, qt.DeepEquals, []EndedJob{{ID: "a", Cell: "x", State: s.ended}})
-			state, known := b.keeper.State("a")
+			state, known := f.coordinator.State("a")
 			c.Assert(known, qt.IsTrue)
 			c.Assert(state, qt.Equals, s.ended)
 			var cancels []Verdict
@@ -247,129 +247,129 @@
 				cancels = append(cancels, answer.Answer.Verdict)
 			}
 			c.Assert(cancels, qt.DeepEquals, s.cancels)
-			c.Assert(b.store.row(TableOpen, "a"), qt.IsNil)
-			c.Assert(b.store.row(TableEnded, "a"), qt.Not(qt.IsNil))
+			c.Assert(f.store.row(TableOpen, "a"), qt.IsNil)
+			c.Assert(f.store.row(TableEnded, "a"), qt.Not(qt.IsNil))
 		})
 	}
 }
 
-func TestACancelBeforeTheJobLasts(t *testing.T) {
+func TestCancelBeforeJobIsStored(t *testing.T) {
 	c := qt.New(t)
-	b := newBench()
-	b.keeper.Accept(1, record("a"), b.now+time.Minute, b.now)
-	c.Assert(b.keeper.Cancel(2, "a", b.now+time.Minute, b.now), qt.IsTrue)
-	b.write(c)
-	b.write(c)
-	effects := b.keeper.TakeEffects()
+	f := newFixture()
+	f.coordinator.Accept(1, record("a"), f.now+time.Minute, f.now)
+	c.Assert(f.coordinator.Cancel(2, "a", f.now+time.Minute, f.now), qt.IsTrue)
+	f.write(c)
+	f.write(c)
+	effects := f.coordinator.TakeEffects()
 	c.Assert(effects.Follow, qt.HasLen, 0)
 	c.Assert(effects.Ended, qt.HasLen, 1)
 	c.Assert(effects.Answers, qt.HasLen, 2)
-	c.Assert(b.keeper.Cancel(3, "b", b.now+time.Minute, b.now), qt.IsFalse)
+	c.Assert(f.coordinator.Cancel(3, "b", f.now+time.Minute, f.now), qt.IsFalse)
 }
 
-func TestAMoveIsWrittenBeforeItIsFollowed(t *testing.T) {
+func TestMoveIsStoredBeforeJobIsFollowed(t *testing.T) {
 	c := qt.New(t)
-	b := accepted(c, "a")
+	f := newAccepted(c, "a")
 	moved := record("a")
 	moved.Cell, moved.Epoch = "y", 7
-	b.keeper.Move(moved)
-	c.Assert(b.keeper.TakeEffects().Follow, qt.HasLen, 0)
-	b.write(c)
-	follow := b.keeper.TakeEffects().Follow
+	f.coordinator.Move(moved)
+	c.Assert(f.coordinator.TakeEffects().Follow, qt.HasLen, 0)
+	f.write(c)
+	follow := f.coordinator.TakeEffects().Follow
 	c.Assert(follow, qt.HasLen, 1)
 	c.Assert(follow[0].Record.Cell, qt.Equals, "y")
 	c.Assert(follow[0].Record.From, qt.Equals, "x")
 	c.Assert(follow[0].Epoch > 7, qt.IsTrue)
 }
 
-func TestALateMoveDoesNotUndoTheNextOne(t *testing.T) {
+func TestLateMoveDoesNotOverwriteNextMove(t *testing.T) {
 	c := qt.New(t)
-	b := accepted(c, "a")
+	f := newAccepted(c, "a")
 	first := record("a")
 	first.Cell = "y"
-	b.keeper.Move(first)
-	late := b.next(c)
-	b.keeper.Committed(tables.Result{}, errMaybe, b.now)
-	b.write(c)
+	f.coordinator.Move(first)
+	late := f.next(c)
+	f.coordinator.Committed(tables.Result{}, errMaybe, f.now)
+	f.write(c)
 	second := record("a")
 	second.Cell = "z"
-	b.keeper.Move(second)
-	b.write(c)
-	_, err := b.store.commit(late, b.now)
+	f.coordinator.Move(second)
+	f.write(c)
+	_, err := f.store.commit(late, f.now)
 	c.Assert(err, qt.Not(qt.IsNil))
-	read, _ := jsonCodec{}.DecodeRecord("a", b.store.row(TableOpen, "a").Value)
+	read, _ := jsonCodec{}.DecodeRecord("a", f.store.row(TableOpen, "a").Value)
 	c.Assert(read.Cell, qt.Equals, "z")
 }
 
-func TestGroupsHoldWhatCameMeanwhile(t *testing.T) {
+func TestJobsArrivingDuringWriteAreGrouped(t *testing.T) {
 	c := qt.New(t)
-	b := newBench()
-	b.keeper.Accept(0, record("first"), b.now+time.Minute, b.now)
-	t1, ok := b.keeper.Next(b.now)
+	f := newFixture()
+	f.coordinator.Accept(0, record("first"), f.now+time.Minute, f.now)
+	t1, ok := f.coordinator.Next(f.now)
 	c.Assert(ok, qt.IsTrue)
 	for i := range 70 {
-		b.keeper.Accept(uint64(i), record(fmt.Sprintf("job%02d", i)), b.now+time.Minute, b.now)
+		f.coordinator.Accept(uint64(i), record(fmt.Sprintf("job%02d", i)), f.now+time.Minute, f.now)
 	}
-	_, ok = b.keeper.Next(b.now + time.Second)
+	_, ok = f.coordinator.Next(f.now + time.Second)
 	c.Assert(ok, qt.IsFalse, qt.Commentf("one group at a time"))
-	result, err := b.store.commit(t1, b.now)
-	b.keeper.Committed(result, err, b.now)
-	_, ok = b.keeper.Next(b.now)
-	c.Assert(ok, qt.IsFalse, qt.Commentf("not before the gap"))
+	result, err := f.store.commit(t1, f.now)
+	f.coordinator.Committed(result, err, f.now)
+	_, ok = f.coordinator.Next(f.now)
+	c.Assert(ok, qt.IsFalse, qt.Commentf("not before the minimum gap"))
 	for _, entries := range []int{99, 99, 12} {
-		next := b.next(c)
+		next := f.next(c)
 		c.Assert(next.Entries(), qt.Equals, entries)
-		result, err := b.store.commit(next, b.now)
-		b.keeper.Committed(result, err, b.now)
+		result, err := f.store.commit(next, f.now)
+		f.coordinator.Committed(result, err, f.now)
 	}
-	c.Assert(b.keeper.TakeEffects().Answers, qt.HasLen, 71)
-	c.Assert(b.store.commits, qt.Equals, 4)
+	c.Assert(f.coordinator.TakeEffects().Answers, qt.HasLen, 71)
+	c.Assert(f.store.commits, qt.Equals, 4)
 }
 
-func TestOneRefusedChangeDoesNotKeepBackItsGroup(t *testing.T) {
+func TestConflictDoesNotBlockRestOfGroup(t *testing.T) {
 	c := qt.New(t)
-	b := newBench()
-	b.store.commit(tables.Transaction{Put: []tables.Row{{Table: TableEnded, Key: "b", Value: encode(End{State: Cancelled})}}}, b.now)
+	f := newFixture()
+	f.store.commit(tables.Transaction{Put: []tables.Row{{Table: TableEnded, Key: "b", Value: encode(End{State: Cancelled})}}}, f.now)
 	for i, id := range []string{"a", "b", "c"} {
-		b.keeper.Accept(uint64(i), record(id), b.now+time.Minute, b.now)
+		f.coordinator.Accept(uint64(i), record(id), f.now+time.Minute, f.now)
 	}
-	b.write(c)
-	effects := b.keeper.TakeEffects()
+	f.write(c)
+	effects := f.coordinator.TakeEffects()
 	c.Assert(effects.Answers, qt.DeepEquals, []CallAnswer{{Call: 1, Answer: Answer{Verdict: Accepted, State: Cancelled}}})
-	b.write(c)
-	c.Assert(b.keeper.TakeEffects().Answers, qt.HasLen, 2)
+	f.write(c)
+	c.Assert(f.coordinator.TakeEffects().Answers, qt.HasLen, 2)
 }
 
-func TestANewKeeperFollowsWhatItFinds(t *testing.T) {
+func TestNewCoordinatorFollowsOpenJobs(t *testing.T) {
 	c := qt.New(t)
-	b := accepted(c, "a")
-	b.now += 700 * ms
+	f := newAccepted(c, "a")
+	f.now += 700 * ms
 	next := NewCoordinator("p00", jsonCodec{}, &Health{})
-	next.ObserveClock(b.now, b.now)
-	next.ApplyOpenRows(b.store.read(TableOpen), b.now, b.now)
+	next.ObserveClock(f.now, f.now)
+	next.ApplyOpenRows(f.store.read(TableOpen), f.now, f.now)
 	follow := next.TakeEffects().Follow
 	c.Assert(follow, qt.HasLen, 1)
 	c.Assert(follow[0].Epoch, qt.Equals, 2+7)
-	next.ApplyOpenRows(b.store.read(TableOpen), b.now, b.now)
-	c.Assert(next.TakeEffects().Follow, qt.HasLen, 0, qt.Commentf("it is followed already"))
+	next.ApplyOpenRows(f.store.read(TableOpen), f.now, f.now)
+	c.Assert(next.TakeEffects().Follow, qt.HasLen, 0, qt.Commentf("it is already followed"))
 }
 
-func TestAKeeperLooksAtWhatAReadingLacks(t *testing.T) {
+func TestJobMissingFromReadingIsReadAgain(t *testing.T) {
 	c := qt.New(t)
-	b := accepted(c, "a")
-	b.keeper.ApplyOpenRows(nil, b.now, b.now)
-	c.Assert(b.keeper.TakeEffects().ReadRows, qt.DeepEquals, []string{"a"})
-	b.keeper.ApplyRows("a", b.store.row(TableOpen, "a"), nil, b.now, b.now)
-	c.Assert(b.keeper.TakeEffects(), qt.DeepEquals, Effects{}, qt.Commentf("it was a reading from before the commit"))
-	b.keeper.ApplyRows("a", nil, &tables.Row{Table: TableEnded, Key: "a", Value: encode(End{State: Failed})}, b.now, b.now)
-	c.Assert(b.keeper.TakeEffects().Ended, qt.HasLen, 1)
+	f := newAccepted(c, "a")
+	f.coordinator.ApplyOpenRows(nil, f.now, f.now)
+	c.Assert(f.coordinator.TakeEffects().ReadRows, qt.DeepEquals, []string{"a"})
+	f.coordinator.ApplyRows("a", f.store.row(TableOpen, "a"), nil, f.now, f.now)
+	c.Assert(f.coordinator.TakeEffects(), qt.DeepEquals, Effects{}, qt.Commentf("the reading began before the commit"))
+	f.coordinator.ApplyRows("a", nil, &tables.Row{Table: TableEnded, Key: "a", Value: encode(End{State: Failed})}, f.now, f.now)
+	c.Assert(f.coordinator.TakeEffects().Ended, qt.HasLen, 1)
 }
 
-func TestARowThatCannotBeReadIsNotFollowed(t *testing.T) {
+func TestUnreadableRowIsNotFollowed(t *testing.T) {
 	c := qt.New(t)
-	b := newBench()
-	b.keeper.ApplyOpenRows([]tables.Row{{Table: TableOpen, Key: "a", Value: []byte("?"), Version: 3}}, b.now, b.now)
-	effects := b.keeper.TakeEffects()
+	f := newFixture()
+	f.coordinator.ApplyOpenRows([]tables.Row{{Table: TableOpen, Key: "a", Value: []byte("?"), Version: 3}}, f.now, f.now)
+	effects := f.coordinator.TakeEffects()
 	c.Assert(effects.Follow, qt.HasLen, 0)
 	c.Assert(effects.Problems, qt.HasLen, 1)
 }
--- a/pkg/kept/effects.go
+++ b/pkg/kept/effects.go
@@ -2,58 +2,58 @@
 
 import "time"
 
-// CallAnswer answers a call that came with Accept or Cancel.
+// CallAnswer is the answer to a call made with Accept or Cancel.
 type CallAnswer struct {
 	Call   uint64
 	Answer Answer
-	Cell   string // of a job that has been cancelled: whose owner has to know before the caller does
+	Cell   string // of a cancelled job: the owner of this cell is notified before the caller is answered
 }
 
-// FollowRequest is a job that is to be handed to the owner of its cell, and followed
-// until it has ended there. It replaces an earlier one for the same job.
+// FollowRequest asks for a job to be dispatched to the owner of its cell and followed
+// until it ends there. It replaces an earlier request for the same job.
 type FollowRequest struct {
 	Record Record
-	AsOf   time.Duration // when the row was known to be so; see RecordFreshness
-	// Epoch is the least with which the job may be handed over now; it rises with
-	// time, as Record.EpochAt tells, unless it is the first.
+	AsOf   time.Duration // when the row was last confirmed; see RecordFreshness
+	// Epoch is the lowest epoch for the next dispatch. Unless it is the first epoch, it
+	// rises with time as Record.EpochAt computes.
 	Epoch int
 }
 
-// EndedJob is a job whose end lasts. It is followed no more, and the owner of its cell
-// may forget it; one that was cancelled has to be stopped there.
+// EndedJob is a job whose end is stored. It is no longer followed, and the owner of its
+// cell may forget it. A cancelled job must be stopped there.
 type EndedJob struct {
 	ID    string
 	Cell  string
 	State State
 }
 
-// Effects are what a keeper asks for.
+// Effects are the actions that a coordinator requests.
 type Effects struct {
 	Answers  []CallAnswer
 	Follow   []FollowRequest
 	Ended    []EndedJob
-	ReadRows []string // ids whose rows are to be read, for ApplyRows
+	ReadRows []string // ids of jobs whose rows must be read and passed to ApplyRows
 	Problems []Problem
 }
 
-// Problem is something that an operator should know of.
+// Problem is a fault to log for the operator.
 type Problem struct {
 	Event string
 	ID    string
 	Error string
 }
 
-// RecordFreshness is how long a keeper may hand a job over after it knew the row to be so.
-// EndNoticeDelay is the least time between the commit of an end and the word to the owner
-// that it lasts, with which executors forget the ends of the job's tasks: so an owner
-// that gets a job from a keeper with an old reading finds there that its tasks are done.
-// A job that was moved is handed to its new cell after as long, when nobody hands it to
-// the old one any more, and once the owner there has said that it doesn't run it.
-// A reading takes some 15 ms; as long as ends are kept back, holds are answered at once,
-// so the times are short.
+// RecordFreshness is how long a job may be dispatched after its row was last confirmed.
+// EndNoticeDelay is the shortest time between the commit of an end and the notice to the
+// owner, upon which executors forget the ends of the job's tasks. It is longer than
+// RecordFreshness, so that an owner that receives the job from a coordinator with an
+// outdated reading still finds that the tasks have ended. A moved job waits as long before
+// it is dispatched to its new cell, so that no coordinator still dispatches it to the old
+// one. Both are short, because hold requests are answered at once while executors retain
+// ends.
 const (
 	RecordFreshness = 150 * time.Millisecond
-	EndNoticeDelay  = RecordFreshness + 50*time.Millisecond // the way of a handover
+	EndNoticeDelay  = RecordFreshness + 50*time.Millisecond // the time that a dispatch travels
 )
 
 // endedEntry is the remembered end of a job.
--- a/pkg/kept/group.go
+++ b/pkg/kept/group.go
@@ -8,15 +8,15 @@
 	"github.com/foxcroft/foxcroft/pkg/tables"
 )
 
-// Changes of jobs go out in groups, each a transaction that is done whole or not at
-// all, one at a time. A change whose fate isn't known is written again: its
-// conditions tell then whether it was done. Changes that the rows refuse are settled
-// by the rows; the others of their group are written again without them.
+// Changes are written in groups. Each group is one transaction, and at most one is in
+// flight per partition. A change with an unknown outcome is written again; its conditions
+// then show whether it was applied. Conflicting changes are resolved by the rows that the
+// store returns, and the other changes of their group are written again without them.
 
-// Next returns the transaction that is to be written now, if any. Its answer goes to
+// Next returns the transaction to write now, if any. Its result must be passed to
 // Committed.
 func (k *Coordinator) Next(now time.Duration) (tables.Transaction, bool) {
-	if len(k.underWay) > 0 || now < k.pace.next || !k.clock.known {
+	if len(k.inFlight) > 0 || now < k.pacer.next || !k.clock.known {
 		return tables.Transaction{}, false
 	}
 	t := tables.Transaction{Part: k.part}
@@ -31,53 +31,53 @@
 			k.entries[id].queued = false
 			continue
 		}
-		if c.kind == accept && !k.entries[id].unsure {
+		if c.kind == accept && !k.entries[id].unresolved {
 			c.record.AcceptedAt = k.clock.at(now)
 			k.entries[id].record = c.record
 		}
 		c.addTo(&t, k.codec, k.clock.at(now))
-		k.underWay = append(k.underWay, c)
+		k.inFlight = append(k.inFlight, c)
 	}
 	k.queue = slices.Delete(k.queue, 0, taken)
-	if len(k.underWay) == 0 {
+	if len(k.inFlight) == 0 {
 		return tables.Transaction{}, false
 	}
-	k.pace.began(now)
+	k.pacer.recordStart(now)
 	k.sentAt = now
 	return t, true
 }
 
-// NextWriteAt returns when Next may have a transaction, or false while there is nothing to
-// write or one is under way.
+// NextWriteAt returns when Next may return a transaction, or false if there is nothing to
+// write or a transaction is in flight.
 func (k *Coordinator) NextWriteAt() (time.Duration, bool) {
-	return k.pace.next, len(k.queue) > 0 && len(k.underWay) == 0 && k.clock.known
+	return k.pacer.next, len(k.queue) > 0 && len(k.inFlight) == 0 && k.clock.known
 }
 
-// changeOf returns the change that an entry waits for.
+// changeOf returns the pending change of an entry.
 func (k *Coordinator) changeOf(id string) (change, bool) {
 	e := k.entries[id]
 	c := change{id: id, version: e.version}
 	switch {
-	case !e.lasts():
+	case !e.isStored():
 		c.kind, c.record = accept, e.record
-	case e.ending != 0:
-		c.kind, c.state, c.cell = end, e.ending, e.record.Cell
-	case e.move != nil:
-		c.kind, c.record = move, *e.move
+	case e.endState != 0:
+		c.kind, c.state, c.cell = end, e.endState, e.record.Cell
+	case e.pendingMove != nil:
+		c.kind, c.record = move, *e.pendingMove
 	default:
 		return change{}, false
 	}
 	return c, true
 }
 
-func (k *Coordinator) isUnderWay(id string) bool {
-	return slices.ContainsFunc(k.underWay, func(c change) bool { return c.id == id })
+func (k *Coordinator) isInFlight(id string) bool {
+	return slices.ContainsFunc(k.inFlight, func(c change) bool { return c.id == id })
 }
 
-// Committed takes the answer to a transaction.
+// Committed handles the result of a transaction.
 func (k *Coordinator) Committed(result tables.Result, err error, now time.Duration) {
-	group := k.underWay
-	k.underWay = nil
+	group := k.inFlight
+	k.inFlight = nil
 	for _, c := range group {
 		if e := k.entries[c.id]; e != nil {
 			e.queued = false
@@ -85,69 +85,70 @@
 	}
 	switch {
 	case err == nil:
-		k.pace.succeeded()
-		k.clock.heard(result.Now, now)
+		k.pacer.recordSuccess()
+		k.clock.observe(result.Now, now)
 		for _, c := range group {
-			k.done(c, result.Version, now)
+			k.applyChange(c, result.Version, now)
 		}
 	case errkind.Of(err) == errkind.Conflict:
-		k.pace.succeeded()
-		k.conflicted(group, result.Conflicts, now)
+		k.pacer.recordSuccess()
+		k.resolveConflicts(group, result.Conflicts, now)
 	case errkind.Of(err) == errkind.PlatformDown:
-		k.pace.failed(now)
-		k.notDone(group)
+		k.pacer.recordFailure(now)
+		k.retryUnapplied(group)
 	default:
-		k.pace.failed(now)
-		k.unknown(group)
+		k.pacer.recordFailure(now)
+		k.retryUnresolved(group)
 	}
 }
 
-// done takes a change that lasts.
-func (k *Coordinator) done(c change, version uint64, now time.Duration) {
+// applyChange handles a committed change.
+func (k *Coordinator) applyChange(c change, version uint64, now time.Duration) {
 	e := k.entries[c.id]
 	if e == nil {
-		return // its end was learnt from its row meanwhile
+		return // its ended row has been read meanwhile
 	}
 	switch c.kind {
 	case accept:
 		e.version = version
-		k.accepted(c.id, e, now)
+		k.completeAccept(c.id, e, now)
 	case end:
-		k.settleEnd(c.id, c.state, c.cell, now)
+		k.recordEnd(c.id, c.state, c.cell, now)
 	case move:
-		e.version, e.record, e.move = version, c.record, nil
-		k.follow(e, e.record.EpochAt(k.Age(&e.record, now)), k.sentAt)
-		k.again(c.id, e)
+		e.version, e.record, e.pendingMove = version, c.record, nil
+		k.requestFollow(e, e.record.EpochAt(k.Age(&e.record, now)), k.sentAt)
+		k.requeueIfPending(c.id, e)
 	}
 }
 
-// accepted takes that a job is kept, and has it followed. The first epoch is only
-// for one whose row can't have been read by another keeper before.
-func (k *Coordinator) accepted(id string, e *entry, now time.Duration) {
-	for _, c := range e.accepts {
+// completeAccept handles the committed row of an completeAccept job and requests to follow the
+// job. The first epoch is used only if no other coordinator can have read the row before.
+func (k *Coordinator) completeAccept(id string, e *entry, now time.Duration) {
+	for _, c := range e.acceptCalls {
 		k.answer(c.number, Answer{Verdict: Accepted, State: Queued})
 	}
-	e.accepts = nil
+	e.acceptCalls = nil
 	epoch := firstEpoch
-	if e.unsure {
+	if e.unresolved {
 		epoch = e.record.EpochAt(k.Age(&e.record, now))
 	}
-	e.unsure = false
-	if e.ending == 0 { // else it was cancelled before it began
-		k.follow(e, epoch, k.sentAt)
+	e.unresolved = false
+	if e.endState == 0 { // a job cancelled before it was stored is not dispatched
+		k.requestFollow(e, epoch, k.sentAt)
 	}
-	k.again(id, e)
+	k.requeueIfPending(id, e)
 }
 
-// again has an entry written again if it waits for another change.
-func (k *Coordinator) again(id string, e *entry) {
+// requeueIfPending queues an entry again if it has another change to write.
+func (k *Coordinator) requeueIfPending(id string, e *entry) {
 	if _, ok := k.changeOf(id); ok {
 		k.enqueue(id, e)
 	}
 }
 
-// conflicted settles the changes that the rows refuse and has the others written again.
-func (k *Coordinator) conflicted(group []change, rows []tables.Row, now time.Duration) {
+// resolveConflicts resolves the changes that conflict with the rows and queues the others
+// again.
+func (k *Coordinator) resolveConflicts(group []change, rows []tables.Row, now time.Duration) {
 	refused := 0
 	for _, c := range group {
 		e := k.entries[c.id]
@@ -155,75 +156,75 @@
 			refused++
 			continue
 		}
-		if !c.refusedBy(rows) {
-			k.again(c.id, e)
+		if !c.conflictsWith(rows) {
+			k.requeueIfPending(c.id, e)
 			continue
 		}
 		refused++
-		k.settleBy(c, e, rows, now)
+		k.resolveFromRows(c, e, rows, now)
 	}
-	if refused == 0 { // the answer doesn't tell why; the rows may
-		k.pace.failed(now)
+	if refused == 0 { // the result does not name the conflicting rows, so read them
+		k.pacer.recordFailure(now)
 		for _, c := range group {
 			k.effects.ReadRows = append(k.effects.ReadRows, c.id)
 		}
 	}
 }
 
-// settleBy takes what the rows of a job say that refused a change of it.
-func (k *Coordinator) settleBy(c change, e *entry, rows []tables.Row, now time.Duration) {
-	if row, ok := rowIn(rows, TableEnded, c.id); ok {
-		k.learnEnded(c.id, row, now)
+// resolveFromRows resolves a conflicting change of a job from the job's rows.
+func (k *Coordinator) resolveFromRows(c change, e *entry, rows []tables.Row, now time.Duration) {
+	if row, ok := findRow(rows, TableEnded, c.id); ok {
+		k.applyEndedRow(c.id, row, now)
 		return
 	}
-	row, ok := rowIn(rows, TableOpen, c.id)
+	row, ok := findRow(rows, TableOpen, c.id)
 	switch {
 	case !ok && c.kind == end:
-		k.settleEnd(c.id, c.state, c.cell, now) // its rows are gone: it ended long ago
+		k.recordEnd(c.id, c.state, c.cell, now) // both rows are removed: it ended long ago
 	case !ok:
-		k.settleEnd(c.id, Cancelled, e.record.Cell, now)
+		k.recordEnd(c.id, Cancelled, e.record.Cell, now)
 	default:
-		k.takeRow(c, e, row, now)
+		k.adoptOpenRow(c, e, row, now)
 	}
 }
 
-// takeRow goes on from the row of an open job that isn't as was thought: the job was
-// accepted before, by this keeper or another one, or moved.
-func (k *Coordinator) takeRow(c change, e *entry, row tables.Row, now time.Duration) {
+// adoptOpenRow continues from the stored row of an open job that was accepted before, by
+// this coordinator or another, or that was moved.
+func (k *Coordinator) adoptOpenRow(c change, e *entry, row tables.Row, now time.Duration) {
 	record, err := k.codec.DecodeRecord(c.id, row.Value)
 	if err != nil {
-		k.problem("kept_row_unreadable", c.id, err)
-		k.unreadable(c.id, e)
+		k.reportProblem("kept_row_unreadable", c.id, err)
+		k.abandonUnreadable(c.id, e)
 		return
 	}
-	e.record, e.version, e.move = record, row.Version, nil
+	e.record, e.version, e.pendingMove = record, row.Version, nil
 	if c.kind == accept {
-		e.unsure = true // others know the row
-		k.accepted(c.id, e, now)
+		e.unresolved = true // other coordinators may have read the row
+		k.completeAccept(c.id, e, now)
 		return
 	}
-	k.follow(e, record.EpochAt(k.Age(&e.record, now)), k.sentAt)
-	k.again(c.id, e)
+	k.requestFollow(e, record.EpochAt(k.Age(&e.record, now)), k.sentAt)
+	k.requeueIfPending(c.id, e)
 }
 
-// unreadable gives a job up whose row nobody can read.
-func (k *Coordinator) unreadable(id string, e *entry) {
-	for _, c := range slices.Concat(e.accepts, e.cancels) {
-		k.answer(c.number, Answer{Verdict: Unknown, Reason: ReasonUnread, RetryAfter: comeBack})
+// abandonUnreadable drops a job whose row cannot be decoded.
+func (k *Coordinator) abandonUnreadable(id string, e *entry) {
+	for _, c := range slices.Concat(e.acceptCalls, e.cancelCalls) {
+		k.answer(c.number, Answer{Verdict: Unknown, Reason: ReasonRowUnreadable, RetryAfter: retryDelay})
 	}
-	k.forget(id)
+	k.removeOpen(id)
 }
 
-// notDone takes that nothing of a group was done. Jobs that can't have been written
-// are refused after the second try.
-func (k *Coordinator) notDone(group []change) {
+// retryUnapplied queues a group again of which nothing was applied. It refuses new jobs
+// after maxAttempts.
+func (k *Coordinator) retryUnapplied(group []change) {
 	for _, c := range group {
 		e := k.entries[c.id]
 		if e == nil {
 			continue
 		}
-		e.tries++
-		if c.kind == accept && !e.unsure && e.tries >= mostTries {
+		e.failedWrites++
+		if c.kind == accept && !e.unresolved && e.failedWrites >= maxAttempts {
 			k.refuse(c.id, e)
 			continue
 		}
@@ -231,14 +232,14 @@
 	}
 }
 
-// unknown takes that a group may have been done, or may be done yet.
-func (k *Coordinator) unknown(group []change) {
+// retryUnresolved queues a group again that may have been applied or may still be.
+func (k *Coordinator) retryUnresolved(group []change) {
 	for _, c := range group {
 		e := k.entries[c.id]
 		if e == nil {
 			continue
 		}
-		e.unsure = e.unsure || c.kind == accept
+		e.unresolved = e.unresolved || c.kind == accept
 		k.enqueue(c.id, e)
 	}
 }
--- a/pkg/kept/model_test.go
+++ b/pkg/kept/model_store_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// jsonCodec writes rows so that tests can read them.
+// jsonCodec encodes rows as JSON, so that tests can read them.
 type jsonCodec struct{}
 
 func (jsonCodec) EncodeRecord(record Record) []byte { return encode(record) }
@@ -38,7 +38,7 @@
 	return data
 }
 
-// modelStore is the platform's tables, of one part.
+// modelStore is an in-memory model of one part of the platform's tables.
 type modelStore struct {
 	rows    map[string]tables.Row // by table and key
 	version uint64
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// commit carries a transaction out, or refuses it with the rows of its conditions.
+// commit applies a transaction, or refuses it and returns the rows of its conditions.
 func (s *modelStore) commit(t tables.Transaction, now time.Duration) (tables.Result, error) {
 	var current []tables.Row
 	holds := true
@@ -82,7 +82,7 @@
 	return tables.Result{Version: s.version, Now: now}, nil
 }
 
-// read returns the rows of a table in the order of their keys.
+// read returns the rows of a table in key order.
 func (s *modelStore) read(table string) []tables.Row {
 	var rows []tables.Row
 	for _, row := range s.rows {
--- a/pkg/kept/record.go
+++ b/pkg/kept/record.go
@@ -6,25 +6,25 @@
 	"github.com/foxcroft/foxcroft/pkg/tables"
 )
 
-// Record is an open job as its row tells it. The job itself stays in the form in
-// which the row holds it: nothing here depends on it.
+// Record is the content of an open job's row. Job stays encoded: this package does not
+// depend on its form.
 type Record struct {
 	ID         string
-	Cell       string        // that runs it
-	From       string        // the cell that it was moved from; empty when it never was
+	Cell       string        // that runs the job
+	From       string        // the cell that the job was moved from; empty if it was never moved
 	AcceptedAt time.Duration // by the store's clock
-	Epoch      int           // the highest with which it may have been handed to an owner when the row was written
+	Epoch      int           // the highest epoch that was in use when the row was written
 	Job        []byte
 }
 
-// End is the end of a job as its row tells it.
+// End is the content of an ended job's row.
 type End struct {
 	State State
-	Cell  string        // that ran it
+	Cell  string        // that ran the job
 	At    time.Duration // by the store's clock
 }
 
-// Codec reads and writes the values of rows.
+// Codec encodes and decodes the values of rows.
 type Codec interface {
 	EncodeRecord(record Record) []byte
 	DecodeRecord(id string, value []byte) (Record, error)
@@ -32,23 +32,23 @@
 	DecodeEnd(value []byte) (End, error)
 }
 
-// Spacing of the epochs of keepers, who can't know how often an earlier one has
-// handed a job to owners: not more often than every epochTime. The first epoch of a
-// job tells its owner that nothing of it has run, so only the keeper that wrote its
-// row may use it, and only at once.
+// Epochs of coordinators. A coordinator does not know how often an earlier one has
+// dispatched a job, but none does so more often than once per epochInterval. The first
+// epoch tells the owner that no part of the job has run. Only the coordinator that wrote
+// the job's row may use it, and only right after the commit.
 const (
-	epochTime  = 100 * time.Millisecond
-	firstEpoch = 1
+	epochInterval = 100 * time.Millisecond
+	firstEpoch    = 1
 )
 
-// EpochAt returns an epoch above all with which a job of some age can have been
-// handed to an owner, by another keeper or by this one.
+// EpochAt returns an epoch above all that any coordinator can have used for a job of the
+// given age.
 func (r *Record) EpochAt(age time.Duration) int {
-	return max(r.Epoch, firstEpoch) + 1 + int(max(age, 0)/epochTime)
+	return max(r.Epoch, firstEpoch) + 1 + int(max(age, 0)/epochInterval)
 }
 
-// rowIn returns a row of a table by its key.
-func rowIn(rows []tables.Row, table, key string) (tables.Row, bool) {
+// findRow returns the row of a table by its key.
+func findRow(rows []tables.Row, table, key string) (tables.Row, bool) {
 	for _, row := range rows {
 		if row.Table == table && row.Key == key {
 			return row, true
--- a/pkg/kept/explore_owner_test.go
+++ b/pkg/kept/simulation_owner_test.go
@@ -8,24 +8,24 @@
 
 const reasonClosed = "closed"
 
-// modelCell is a cell: its executors, which outlive its owners.
+// modelCell is a cell with its executors, which outlive its owners.
 type modelCell struct {
 	name    string
 	owner   *modelOwner
 	running map[string]*modelRun // by job
-	ended   map[string]State     // ends that haven't been noted
+	ended   map[string]State     // ends of which no notice has arrived
 	closed  bool
 }
 
-// modelRun is a run of a job of one task.
+// modelRun is a run of a single-task job.
 type modelRun struct {
-	owner *modelOwner // that renews its lease
+	owner *modelOwner // the owner that renews its lease
 	over  bool
 }
 
 // modelOwner is an owner of a cell.
 type modelOwner struct {
-	world     *world
+	sim       *simulation
 	cell      *modelCell
 	alive     bool
 	jobs      map[string]*ownedJob
@@ -36,17 +36,17 @@
 // ownedJob is a job at an owner.
 type ownedJob struct {
 	askers []*follower
-	asked  time.Duration // when a keeper was last known to wait
+	asked  time.Duration // when a coordinator last waited for it
 }
 
-func (w *world) newOwner(cell *modelCell) {
-	cell.owner = &modelOwner{world: w, cell: cell, alive: true, jobs: map[string]*ownedJob{}, outcomes: map[string]State{}, cancelled: map[string]bool{}}
+func (sim *simulation) newOwner(cell *modelCell) {
+	cell.owner = &modelOwner{sim: sim, cell: cell, alive: true, jobs: map[string]*ownedJob{}, outcomes: map[string]State{}, cancelled: map[string]bool{}}
 	cell.owner.tick()
 }
 
-// killOwner has an owner die. Its runs go on until their leases end, and those that
-// wait for it learn of its death.
-func (w *world) killOwner(cell *modelCell) {
+// killOwner stops an owner. Its runs continue until their leases expire, and its followers
+// learn that it is lost.
+func (sim *simulation) killOwner(cell *modelCell) {
 	old := cell.owner
 	if !old.alive {
 		return
@@ -54,26 +54,26 @@
 	old.alive = false
 	for _, j := range old.jobs {
 		for _, f := range j.askers {
-			w.after(w.between(0, 600*ms), func() { f.outcome(job.Outcome{Kind: job.Lost}) })
+			sim.after(sim.between(0, 600*ms), func() { f.handleOutcome(job.Outcome{Kind: job.Lost}) })
 		}
 	}
 	for id, run := range cell.running {
-		w.after(leaseTime, func() {
+		sim.after(leaseTime, func() {
 			if run.owner == old && cell.running[id] == run {
 				run.over = true
 				delete(cell.running, id)
 			}
 		})
 	}
-	w.after(w.between(100*ms, 1200*ms), func() { w.newOwner(cell) })
+	sim.after(sim.between(100*ms, 1200*ms), func() { sim.newOwner(cell) })
 }
 
-// dispatch takes a job from a keeper.
+// dispatch accepts a job from a coordinator.
 func (o *modelOwner) dispatch(f *follower, epoch int) {
-	w, id := o.world, f.record.ID
+	sim, id := o.sim, f.record.ID
 	switch {
 	case !o.alive:
-		w.after(w.between(100*ms, 600*ms), func() { f.outcome(job.Outcome{Kind: job.Lost}) })
+		sim.after(sim.between(100*ms, 600*ms), func() { f.handleOutcome(job.Outcome{Kind: job.Lost}) })
 		return
 	case o.cancelled[id]:
 		f.answer(job.Outcome{Kind: job.Moved, Reason: "kept_cancelled"})
@@ -86,17 +86,17 @@
 		j.askers = append(j.askers, f)
 		return
 	}
-	j := &ownedJob{askers: []*follower{f}, asked: w.now}
+	j := &ownedJob{askers: []*follower{f}, asked: sim.now}
 	o.jobs[id] = j
-	if epoch == firstEpoch && w.byID[id].starts > 0 {
-		w.breaks("%s was handed over as if nothing of it had run", id)
+	if epoch == firstEpoch && sim.byID[id].starts > 0 {
+		sim.reportViolation("%s was dispatched with the first epoch after it had run", id)
 	}
 	o.adopt(id, j)
 }
 
-// adopt goes on with what the executors tell of a job.
+// adopt continues with the job's run or end at the executors, or starts the job.
 func (o *modelOwner) adopt(id string, j *ownedJob) {
-	w := o.world
+	sim := o.sim
 	if state, ended := o.cell.ended[id]; ended {
 		o.finish(id, j, state)
 		return
@@ -105,54 +105,54 @@
 		run.owner = o
 		return
 	}
-	w.after(w.between(0, 150*ms), func() { o.start(id, j) })
+	sim.after(sim.between(0, 150*ms), func() { o.start(id, j) })
 }
 
-// start begins a run, unless the cell is closed or nobody asks for the job.
+// start starts a run, unless the cell is closed or no coordinator asks for the job.
 func (o *modelOwner) start(id string, j *ownedJob) {
-	w, m := o.world, o.world.byID[id]
+	sim, m := o.sim, o.sim.byID[id]
 	if !o.alive || o.jobs[id] != j || o.cell.running[id] != nil {
 		return
 	}
-	if o.cell.closed || w.now > j.asked+startsAsked {
-		w.after(50*ms, func() { o.start(id, j) })
+	if o.cell.closed || sim.now > j.asked+startsAsked {
+		sim.after(50*ms, func() { o.start(id, j) })
 		return
 	}
-	for _, cell := range w.cells {
+	for _, cell := range sim.cells {
 		if cell.running[id] != nil {
-			w.breaks("%s runs twice", id)
+			sim.reportViolation("%s runs twice", id)
 		}
 	}
-	if m.noted && m.done > 0 {
-		w.breaks("%s starts after its noted end", id)
+	if m.endForgotten && m.done > 0 {
+		sim.reportViolation("%s starts after its end was forgotten", id)
 	}
-	if m.cancelled > 0 && w.now > m.cancelled+cancelTime {
-		w.breaks("%s starts %s after it was cancelled", id, w.now-m.cancelled)
+	if m.cancelled > 0 && sim.now > m.cancelled+cancelTime {
+		sim.reportViolation("%s starts %s after it was cancelled", id, sim.now-m.cancelled)
 	}
 	m.starts++
 	run := &modelRun{owner: o}
 	o.cell.running[id] = run
-	w.after(w.between(20*ms, 900*ms), func() { o.cell.end(id, run) })
+	sim.after(sim.between(20*ms, 900*ms), func() { o.cell.end(id, run) })
 }
 
-// end has a run end by itself.
+// end ends a run.
 func (c *modelCell) end(id string, run *modelRun) {
 	if run.over || c.running[id] != run {
 		return
 	}
 	delete(c.running, id)
-	w := c.owner.world
+	sim := c.owner.sim
 	state := Completed
-	if w.chance(0.1) {
+	if sim.chance(0.1) {
 		state = Failed
-		w.byID[id].failed++
+		sim.byID[id].failed++
 	} else {
-		w.byID[id].done++
+		sim.byID[id].done++
 	}
 	c.ended[id] = state
 	o := run.owner
 	if j := o.jobs[id]; j != nil && o.alive {
-		w.after(w.between(1*ms, 10*ms), func() {
+		sim.after(sim.between(1*ms, 10*ms), func() {
 			if o.alive && o.jobs[id] == j {
 				o.finish(id, j, state)
 			}
@@ -160,7 +160,7 @@
 	}
 }
 
-// finish tells the keepers how a job has ended.
+// finish reports the end of a job to its followers.
 func (o *modelOwner) finish(id string, j *ownedJob, state State) {
 	delete(o.jobs, id)
 	o.outcomes[id] = state
@@ -178,24 +178,25 @@
 
 // answer sends an outcome to a follower.
 func (f *follower) answer(o job.Outcome) {
-	w := f.keeper.world
-	w.after(w.between(1*ms, 10*ms), func() { f.outcome(o) })
+	sim := f.coordinator.sim
+	sim.after(sim.between(1*ms, 10*ms), func() { f.handleOutcome(o) })
 }
 
-// note takes that the end of a job lasts: the executors may forget it.
-func (c *modelCell) note(id string) {
+// handleEndNotice handles the notice that the end of a job is stored: the executors may
+// forget it.
+func (c *modelCell) handleEndNotice(id string) {
 	o := c.owner
 	if !o.alive {
 		return
 	}
 	if _, listed := c.ended[id]; listed {
 		delete(c.ended, id)
-		o.world.byID[id].noted = true
+		o.sim.byID[id].endForgotten = true
 	}
-	o.world.after(outcomeTime, func() { delete(o.outcomes, id) })
+	o.sim.after(outcomeTime, func() { delete(o.outcomes, id) })
 }
 
-// cancel ends a job whoever waits for it.
+// cancel stops a job, whoever waits for it.
 func (c *modelCell) cancel(id string) {
 	o := c.owner
 	if !o.alive {
@@ -214,8 +215,9 @@
 	}
 }
 
-// forsake drops a job that was moved away, and reports whether it runs or has run here.
-func (o *modelOwner) forsake(id string) bool {
+// release drops a job that was moved to another cell. It reports whether the job runs or
+// has run here.
+func (o *modelOwner) release(id string) bool {
 	if o.cell.running[id] != nil || o.cell.ended[id] != 0 || o.outcomes[id] != 0 {
 		return true
 	}
@@ -223,15 +225,15 @@
 	return false
 }
 
-// leave takes a keeper off those that ask for a job.
+// leave removes a follower of a job.
 func (c *modelCell) leave(f *follower) {
 	if j := c.owner.jobs[f.record.ID]; j != nil {
 		j.askers = without(j.askers, f)
 	}
 }
 
-// giveBack hands back what a closed cell doesn't run.
-func (c *modelCell) giveBack() {
+// returnJobs returns the jobs that a closed cell does not run.
+func (c *modelCell) returnJobs() {
 	for id, j := range c.owner.jobs {
 		if c.owner.alive && c.running[id] == nil && c.ended[id] == 0 {
 			delete(c.owner.jobs, id)
@@ -242,7 +244,7 @@
 	}
 }
 
-// tick lets time pass for an owner: it drops what no keeper has asked for for long.
+// tick drops the jobs that no coordinator has asked for within unaskedTime.
 func (o *modelOwner) tick() {
 	if !o.alive {
 		return
@@ -250,10 +252,10 @@
 	for id, j := range o.jobs {
 		for _, f := range j.askers {
 			if !f.over() {
-				j.asked = o.world.now
+				j.asked = o.sim.now
 			}
 		}
-		if o.world.now > j.asked+unaskedTime {
+		if o.sim.now > j.asked+unaskedTime {
 			delete(o.jobs, id)
 			if run := o.cell.running[id]; run != nil {
 				run.over = true
@@ -262,7 +264,7 @@
 		}
 	}
 	if o.cell.closed {
-		o.cell.giveBack()
+		o.cell.returnJobs()
 	}
-	o.world.after(50*ms, o.tick)
+	o.sim.after(50*ms, o.tick)
 }
