--- a/pkg/kept/coordinator.go
+++ b/pkg/kept/coordinator.go
@@ -84,58 +84,58 @@
 func (co *Coordinator) ObserveClock(store, now time.Duration) { co.clock.observe(store, now) }
 
 // Age returns the age of a job by the store's clock.
-func (k *Coordinator) Age(record *Record, now time.Duration) time.Duration {
-	return k.clock.at(now) - record.AcceptedAt
+func (co *Coordinator) Age(record *Record, now time.Duration) time.Duration {
+	return co.clock.at(now) - record.AcceptedAt
 }
 
 // TakeEffects returns and clears the pending effects.
-func (k *Coordinator) TakeEffects() Effects {
-	effects := k.effects
-	k.effects = Effects{}
+func (co *Coordinator) TakeEffects() Effects {
+	effects := co.effects
+	co.effects = Effects{}
 	return effects
 }
 
 // Open returns the number of open jobs.
-func (k *Coordinator) Open() int { return len(k.entries) }
+func (co *Coordinator) Open() int { return len(co.entries) }
 
 // Accept stores a job, and answers the call once the outcome is known, or at the deadline.
-func (k *Coordinator) Accept(number uint64, record Record, deadline, now time.Duration) {
+func (co *Coordinator) Accept(number uint64, record Record, deadline, now time.Duration) {
 	id := record.ID
-	if known, ok := k.ended[id]; ok {
-		k.answerEnded(call{number: number}, known)
+	if known, ok := co.ended[id]; ok {
+		co.answerEnded(call{number: number}, known)
 		return
 	}
-	e := k.entries[id]
+	e := co.entries[id]
 	if e == nil {
-		if k.pacer.health.IsDown() && !k.mayProbe(now) {
-			k.answer(number, refusal(ReasonStoreDown))
+		if co.pacer.health.IsDown() && !co.mayProbe(now) {
+			co.answer(number, refusal(ReasonStoreDown))
 			return
 		}
 		record.Epoch = 0
 		e = &entry{record: record, knownSince: now}
-		k.entries[id] = e
+		co.entries[id] = e
 	}
 	if e.isStored() {
-		k.answer(number, Answer{Verdict: Accepted, State: Queued})
+		co.answer(number, Answer{Verdict: Accepted, State: Queued})
 		return
 	}
 	e.acceptCalls = append(e.acceptCalls, call{number: number, deadline: deadline})
-	k.enqueue(id, e)
+	co.enqueue(id, e)
 }
 
 // mayProbe reports whether a new job may be used to test a store that seems down.
-func (k *Coordinator) mayProbe(now time.Duration) bool {
-	return len(k.queue) == 0 && len(k.inFlight) == 0 && now >= k.pacer.next
+func (co *Coordinator) mayProbe(now time.Duration) bool {
+	return len(co.queue) == 0 && len(co.inFlight) == 0 && now >= co.pacer.next
 }
 
 // Cancel ends a job for good, and answers the call once that is stored. It returns false
 // for an unknown job, whose rows must be read first.
-func (k *Coordinator) Cancel(number uint64, id string, deadline, _ time.Duration) bool {
-	if known, ok := k.ended[id]; ok {
-		k.answerEnded(call{number: number}, known)
+func (co *Coordinator) Cancel(number uint64, id string, deadline, _ time.Duration) bool {
+	if known, ok := co.ended[id]; ok {
+		co.answerEnded(call{number: number}, known)
 		return true
 	}
-	e := k.entries[id]
+	e := co.entries[id]
 	if e == nil {
 		return false
 	}
@@ -143,38 +143,38 @@
 	if e.endState == 0 {
 		e.endState = Cancelled
 	}
-	k.enqueue(id, e)
+	co.enqueue(id, e)
 	return true
 }
 
 // State returns the state of a job, or false if it is unknown here. Another coordinator
 // may have ended a job that is still open here, so callers read the job's row if the store
 // can be read.
-func (k *Coordinator) State(id string) (State, bool) {
-	if known, ok := k.ended[id]; ok {
+func (co *Coordinator) State(id string) (State, bool) {
+	if known, ok := co.ended[id]; ok {
 		return known.state, true
 	}
-	if e := k.entries[id]; e != nil && e.isStored() {
+	if e := co.entries[id]; e != nil && e.isStored() {
 		return Queued, true
 	}
 	return 0, false
 }
 
 // Finish records the end of a job that the owner of its cell reported.
-func (k *Coordinator) Finish(id string, state State) {
-	e := k.entries[id]
+func (co *Coordinator) Finish(id string, state State) {
+	e := co.entries[id]
 	if e == nil || e.endState != 0 {
 		return
 	}
 	e.endState = state
 	e.pendingMove = nil
-	k.enqueue(id, e)
+	co.enqueue(id, e)
 }
 
 // Move assigns a job to another cell, or saves its progress if the cell is unchanged. The
 // job is followed by the new record once that is stored.
-func (k *Coordinator) Move(record Record) {
-	e := k.entries[record.ID]
+func (co *Coordinator) Move(record Record) {
+	e := co.entries[record.ID]
 	if e == nil || e.endState != 0 || !e.isStored() {
 		return
 	}
@@ -183,110 +183,111 @@
 		record.From = "" // its current cell runs it already
 	}
 	e.pendingMove = &record
-	k.enqueue(record.ID, e)
+	co.enqueue(record.ID, e)
 }
 
 // ApplyOpenRows applies a complete reading of the partition's open jobs that began at
 // began. Jobs that were unknown are followed from now on.
-func (k *Coordinator) ApplyOpenRows(rows []tables.Row, began, now time.Duration) {
+func (co *Coordinator) ApplyOpenRows(rows []tables.Row, began, now time.Duration) {
 	listed := map[string]bool{}
 	for _, row := range rows {
 		listed[row.Key] = true
-		k.applyOpenRow(row, began, now)
+		co.applyOpenRow(row, began, now)
 	}
-	for id, e := range k.entries {
+	for id, e := range co.entries {
 		if !listed[id] && e.isStored() && e.knownSince < began && !e.queued {
-			k.effects.ReadRows = append(k.effects.ReadRows, id)
+			co.effects.ReadRows = append(co.effects.ReadRows, id)
 		}
 	}
-	slices.Sort(k.effects.ReadRows)
+	slices.Sort(co.effects.ReadRows)
 }
 
 // ApplyRows applies the rows of one job as read by a reading that began at began; nil for
 // an absent row.
-func (k *Coordinator) ApplyRows(id string, open, ended *tables.Row, began, now time.Duration) {
+func (co *Coordinator) ApplyRows(id string, open, ended *tables.Row, began, now time.Duration) {
 	if ended != nil {
-		k.applyEndedRow(id, *ended, now)
+		co.applyEndedRow(id, *ended, now)
 		return
 	}
 	if open != nil {
-		k.applyOpenRow(*open, began, now)
+		co.applyOpenRow(*open, began, now)
 	}
 }
 
 // IsCurrent reports whether the known version of an open job is that of its row. It is
 // false while a queued change keeps newer rows from being applied.
-func (k *Coordinator) IsCurrent(id string, row *tables.Row) bool {
-	e := k.entries[id]
+func (co *Coordinator) IsCurrent(id string, row *tables.Row) bool {
+	e := co.entries[id]
 	return e != nil && row != nil && e.version == row.Version
 }
 
 // applyOpenRow applies the row of an open job. A change that is queued or in flight takes
 // precedence over any reading.
-func (k *Coordinator) applyOpenRow(row tables.Row, began, now time.Duration) {
-	e := k.entries[row.Key]
-	if _, over := k.ended[row.Key]; over || e != nil && (e.queued || row.Version <= e.version) {
+func (co *Coordinator) applyOpenRow(row tables.Row, began, now time.Duration) {
+	e := co.entries[row.Key]
+	if _, over := co.ended[row.Key]; over || e != nil && (e.queued || row.Version <= e.version) {
 		return
 	}
-	record, err := k.codec.DecodeRecord(row.Key, row.Value)
+	record, err := co.codec.DecodeRecord(row.Key, row.Value)
 	if err != nil {
-		k.reportProblem("kept_row_unreadable", row.Key, err)
+		co.reportProblem("kept_row_unreadable", row.Key, err)
 		return
 	}
 	if e == nil {
 		e = &entry{knownSince: now}
-		k.entries[row.Key] = e
+		co.entries[row.Key] = e
 	}
 	e.record, e.version = record, row.Version
-	k.requestFollow(e, record.EpochAt(k.Age(&record, now)), began)
+	co.requestFollow(e, record.EpochAt(co.Age(&record, now)), began)
 }
 
 // applyEndedRow applies the row of an ended job.
-func (k *Coordinator) applyEndedRow(id string, row tables.Row, now time.Duration) {
-	end, err := k.codec.DecodeEnd(row.Value)
+func (co *Coordinator) applyEndedRow(id string, row tables.Row, now time.Duration) {
+	end, err := co.codec.DecodeEnd(row.Value)
 	if err != nil {
-		k.reportProblem("kept_row_unreadable", id, err)
+		co.reportProblem("kept_row_unreadable", id, err)
 		end.State = Failed // the job has ended, but its row cannot be decoded
 	}
-	k.recordEnd(id, end.State, end.Cell, now)
+	co.recordEnd(id, end.State, end.Cell, now)
 }
 
 // Expire answers the calls whose deadlines have passed and removes old ends.
-func (k *Coordinator) Expire(now time.Duration) {
-	for id, e := range k.entries {
-		if k.cannotBeStored(id, e) && !slices.ContainsFunc(e.acceptCalls, func(c call) bool { return now < c.deadline }) {
-			k.refuse(id, e)
+func (co *Coordinator) Expire(now time.Duration) {
+	for id, e := range co.entries {
+		if co.cannotBeStored(id, e) && !slices.ContainsFunc(e.acceptCalls, func(c call) bool { return now < c.deadline }) {
+			co.refuse(id, e)
 			continue
 		}
-		e.acceptCalls = k.expireCalls(e.acceptCalls, now)
-		e.cancelCalls = k.expireCalls(e.cancelCalls, now)
+		e.acceptCalls = co.expireCalls(e.acceptCalls, now)
+		e.cancelCalls = co.expireCalls(e.cancelCalls, now)
 	}
-	k.removeOldEnds(now)
+	co.removeOldEnds(now)
 }
 
-func (k *Coordinator) removeOldEnds(now time.Duration) {
+func (co *Coordinator) removeOldEnds(now time.Duration) {
 	old := 0
-	for _, id := range k.endedIDs {
-		if now <= k.ended[id].at+endedRetention {
+	for _, id := range co.endedIDs {
+		if now <= co.ended[id].at+endedRetention {
 			break
 		}
-		delete(k.ended, id)
+		delete(co.ended, id)
 		old++
 	}
-	k.endedIDs = slices.Delete(k.endedIDs, 0, old)
+	co.endedIDs = slices.Delete(co.endedIDs, 0, old)
 }
 
-// cannotBeStored reports whether no row of the job can have been written, nor still be.
-func (k *Coordinator) cannotBeStored(id string, e *entry) bool {
-	return !e.isStored() && !e.unresolved && !k.isInFlight(id)
+// cannotBeStored reports whether no attempt to insert the job's row can have succeeded or
+// can still succeed.
+func (co *Coordinator) cannotBeStored(id string, e *entry) bool {
+	return !e.isStored() && !e.unresolved && !co.isInFlight(id)
 }
 
 // expireCalls answers the calls whose deadlines have passed and returns the others.
-func (k *Coordinator) expireCalls(calls []call, now time.Duration) []call {
+func (co *Coordinator) expireCalls(calls []call, now time.Duration) []call {
 	return slices.DeleteFunc(calls, func(c call) bool {
 		over := now >= c.deadline
 		if over {
-			k.answer(c.number, Answer{Verdict: Unknown, Reason: ReasonStoreUnresponsive, RetryAfter: retryDelay})
+			co.answer(c.number, Answer{Verdict: Unknown, Reason: ReasonStoreUnresponsive, RetryAfter: retryDelay})
 		}
 		return over
 	})
@@ -294,14 +295,14 @@
 
 // refuse drops a job for which this coordinator cannot have written a row. Its cancel
 // calls get Unknown, because another coordinator may have accepted the job before.
-func (k *Coordinator) refuse(id string, e *entry) {
+func (co *Coordinator) refuse(id string, e *entry) {
 	for _, c := range e.acceptCalls {
-		k.answer(c.number, refusal(ReasonStoreDown))
+		co.answer(c.number, refusal(ReasonStoreDown))
 	}
 	for _, c := range e.cancelCalls {
-		k.answer(c.number, Answer{Verdict: Unknown, Reason: ReasonStoreDown, RetryAfter: retryDelay})
+		co.answer(c.number, Answer{Verdict: Unknown, Reason: ReasonStoreDown, RetryAfter: retryDelay})
 	}
-	k.removeOpen(id)
+	co.removeOpen(id)
 }
 
 func refusal(reason string) Answer {
@@ -309,54 +310,54 @@
 }
 
 // removeOpen removes a job from the open ones.
-func (k *Coordinator) removeOpen(id string) {
-	delete(k.entries, id)
-	k.queue = slices.DeleteFunc(k.queue, func(queued string) bool { return queued == id })
+func (co *Coordinator) removeOpen(id string) {
+	delete(co.entries, id)
+	co.queue = slices.DeleteFunc(co.queue, func(queued string) bool { return queued == id })
 }
 
 // recordEnd records the stored end of a job and answers its calls.
-func (k *Coordinator) recordEnd(id string, state State, cell string, now time.Duration) {
-	e := k.entries[id]
-	known, again := k.ended[id]
+func (co *Coordinator) recordEnd(id string, state State, cell string, now time.Duration) {
+	e := co.entries[id]
+	known, again := co.ended[id]
 	if !again {
 		known = endedEntry{state: state, cell: cell, at: now}
-		k.ended[id] = known
-		k.endedIDs = append(k.endedIDs, id)
+		co.ended[id] = known
+		co.endedIDs = append(co.endedIDs, id)
 	}
 	if e == nil {
 		return
 	}
 	for _, c := range slices.Concat(e.acceptCalls, e.cancelCalls) {
-		k.answerEnded(c, known)
+		co.answerEnded(c, known)
 	}
-	k.removeOpen(id)
-	k.effects.Ended = append(k.effects.Ended, EndedJob{ID: id, Cell: cell, State: state})
+	co.removeOpen(id)
+	co.effects.Ended = append(co.effects.Ended, EndedJob{ID: id, Cell: cell, State: state})
 }
 
-func (k *Coordinator) answerEnded(c call, known endedEntry) {
+func (co *Coordinator) answerEnded(c call, known endedEntry) {
 	answer := CallAnswer{Call: c.number, Answer: Answer{Verdict: Accepted, State: known.state}}
 	if known.state == Cancelled {
 		answer.Cell = known.cell
 	}
-	k.effects.Answers = append(k.effects.Answers, answer)
+	co.effects.Answers = append(co.effects.Answers, answer)
 }
 
-func (k *Coordinator) enqueue(id string, e *entry) {
+func (co *Coordinator) enqueue(id string, e *entry) {
 	if e.queued {
 		return
 	}
 	e.queued = true
-	k.queue = append(k.queue, id)
+	co.queue = append(co.queue, id)
 }
 
-func (k *Coordinator) requestFollow(e *entry, epoch int, asOf time.Duration) {
-	k.effects.Follow = append(k.effects.Follow, FollowRequest{Record: e.record, Epoch: epoch, AsOf: asOf})
+func (co *Coordinator) requestFollow(e *entry, epoch int, asOf time.Duration) {
+	co.effects.Follow = append(co.effects.Follow, FollowRequest{Record: e.record, Epoch: epoch, AsOf: asOf})
 }
 
-func (k *Coordinator) answer(number uint64, answer Answer) {
-	k.effects.Answers = append(k.effects.Answers, CallAnswer{Call: number, Answer: answer})
+func (co *Coordinator) answer(number uint64, answer Answer) {
+	co.effects.Answers = append(co.effects.Answers, CallAnswer{Call: number, Answer: answer})
 }
 
-func (k *Coordinator) reportProblem(event, id string, err error) {
-	k.effects.Problems = append(k.effects.Problems, Problem{Event: event, ID: id, Error: err.Error()})
+func (co *Coordinator) reportProblem(event, id string, err error) {
+	co.effects.Problems = append(co.effects.Problems, Problem{Event: event, ID: id, Error: err.Error()})
 }
--- a/pkg/kept/group.go
+++ b/pkg/kept/group.go
@@ -15,47 +15,47 @@
 
 // Next returns the transaction to write now, if any. Its result must be passed to
 // Committed.
-func (k *Coordinator) Next(now time.Duration) (tables.Transaction, bool) {
-	if len(k.inFlight) > 0 || now < k.pacer.next || !k.clock.known {
+func (co *Coordinator) Next(now time.Duration) (tables.Transaction, bool) {
+	if len(co.inFlight) > 0 || now < co.pacer.next || !co.clock.known {
 		return tables.Transaction{}, false
 	}
-	t := tables.Transaction{Part: k.part}
+	t := tables.Transaction{Part: co.part}
 	taken := 0
-	for _, id := range k.queue {
-		c, ok := k.changeOf(id)
+	for _, id := range co.queue {
+		c, ok := co.changeOf(id)
 		if ok && t.Entries()+c.entries() > tables.MostEntries {
 			break
 		}
 		taken++
 		if !ok {
-			k.entries[id].queued = false
+			co.entries[id].queued = false
 			continue
 		}
-		if c.kind == accept && !k.entries[id].unresolved {
-			c.record.AcceptedAt = k.clock.at(now)
-			k.entries[id].record = c.record
+		if c.kind == accept && !co.entries[id].unresolved {
+			c.record.AcceptedAt = co.clock.at(now)
+			co.entries[id].record = c.record
 		}
-		c.addTo(&t, k.codec, k.clock.at(now))
-		k.inFlight = append(k.inFlight, c)
+		c.addTo(&t, co.codec, co.clock.at(now))
+		co.inFlight = append(co.inFlight, c)
 	}
-	k.queue = slices.Delete(k.queue, 0, taken)
-	if len(k.inFlight) == 0 {
+	co.queue = slices.Delete(co.queue, 0, taken)
+	if len(co.inFlight) == 0 {
 		return tables.Transaction{}, false
 	}
-	k.pacer.recordStart(now)
-	k.sentAt = now
+	co.pacer.recordStart(now)
+	co.sentAt = now
 	return t, true
 }
 
 // NextWriteAt returns when Next may return a transaction, or false if there is nothing to
 // write or a transaction is in flight.
-func (k *Coordinator) NextWriteAt() (time.Duration, bool) {
-	return k.pacer.next, len(k.queue) > 0 && len(k.inFlight) == 0 && k.clock.known
+func (co *Coordinator) NextWriteAt() (time.Duration, bool) {
+	return co.pacer.next, len(co.queue) > 0 && len(co.inFlight) == 0 && co.clock.known
 }
 
 // changeOf returns the pending change of an entry.
-func (k *Coordinator) changeOf(id string) (change, bool) {
-	e := k.entries[id]
+func (co *Coordinator) changeOf(id string) (change, bool) {
+	e := co.entries[id]
 	c := change{id: id, version: e.version}
 	switch {
 	case !e.isStored():
@@ -70,176 +70,176 @@
 	return c, true
 }
 
-func (k *Coordinator) isInFlight(id string) bool {
-	return slices.ContainsFunc(k.inFlight, func(c change) bool { return c.id == id })
+func (co *Coordinator) isInFlight(id string) bool {
+	return slices.ContainsFunc(co.inFlight, func(c change) bool { return c.id == id })
 }
 
 // Committed handles the result of a transaction.
-func (k *Coordinator) Committed(result tables.Result, err error, now time.Duration) {
-	group := k.inFlight
-	k.inFlight = nil
+func (co *Coordinator) Committed(result tables.Result, err error, now time.Duration) {
+	group := co.inFlight
+	co.inFlight = nil
 	for _, c := range group {
-		if e := k.entries[c.id]; e != nil {
+		if e := co.entries[c.id]; e != nil {
 			e.queued = false
 		}
 	}
 	switch {
 	case err == nil:
-		k.pacer.recordSuccess()
-		k.clock.observe(result.Now, now)
+		co.pacer.recordSuccess()
+		co.clock.observe(result.Now, now)
 		for _, c := range group {
-			k.applyChange(c, result.Version, now)
+			co.applyChange(c, result.Version, now)
 		}
 	case errkind.Of(err) == errkind.Conflict:
-		k.pacer.recordSuccess()
-		k.resolveConflicts(group, result.Conflicts, now)
+		co.pacer.recordSuccess()
+		co.resolveConflicts(group, result.Conflicts, now)
 	case errkind.Of(err) == errkind.PlatformDown:
-		k.pacer.recordFailure(now)
-		k.retryUnapplied(group)
+		co.pacer.recordFailure(now)
+		co.retryUnapplied(group)
 	default:
-		k.pacer.recordFailure(now)
-		k.retryUnresolved(group)
+		co.pacer.recordFailure(now)
+		co.retryUnresolved(group)
 	}
 }
 
 // applyChange handles a committed change.
-func (k *Coordinator) applyChange(c change, version uint64, now time.Duration) {
-	e := k.entries[c.id]
+func (co *Coordinator) applyChange(c change, version uint64, now time.Duration) {
+	e := co.entries[c.id]
 	if e == nil {
 		return // its ended row has been read meanwhile
 	}
 	switch c.kind {
 	case accept:
 		e.version = version
-		k.completeAccept(c.id, e, now)
+		co.completeAccept(c.id, e, now)
 	case end:
-		k.recordEnd(c.id, c.state, c.cell, now)
+		co.recordEnd(c.id, c.state, c.cell, now)
 	case move:
 		e.version, e.record, e.pendingMove = version, c.record, nil
-		k.requestFollow(e, e.record.EpochAt(k.Age(&e.record, now)), k.sentAt)
-		k.requeueIfPending(c.id, e)
+		co.requestFollow(e, e.record.EpochAt(co.Age(&e.record, now)), co.sentAt)
+		co.requeueIfPending(c.id, e)
 	}
 }
 
-// completeAccept handles the committed row of an completeAccept job and requests to follow the
+// completeAccept handles the committed row of an accepted job and requests to follow the
 // job. The first epoch is used only if no other coordinator can have read the row before.
-func (k *Coordinator) completeAccept(id string, e *entry, now time.Duration) {
+func (co *Coordinator) completeAccept(id string, e *entry, now time.Duration) {
 	for _, c := range e.acceptCalls {
-		k.answer(c.number, Answer{Verdict: Accepted, State: Queued})
+		co.answer(c.number, Answer{Verdict: Accepted, State: Queued})
 	}
 	e.acceptCalls = nil
 	epoch := firstEpoch
 	if e.unresolved {
-		epoch = e.record.EpochAt(k.Age(&e.record, now))
+		epoch = e.record.EpochAt(co.Age(&e.record, now))
 	}
 	e.unresolved = false
 	if e.endState == 0 { // a job cancelled before it was stored is not dispatched
-		k.requestFollow(e, epoch, k.sentAt)
+		co.requestFollow(e, epoch, co.sentAt)
 	}
-	k.requeueIfPending(id, e)
+	co.requeueIfPending(id, e)
 }
 
 // requeueIfPending queues an entry again if it has another change to write.
-func (k *Coordinator) requeueIfPending(id string, e *entry) {
-	if _, ok := k.changeOf(id); ok {
-		k.enqueue(id, e)
+func (co *Coordinator) requeueIfPending(id string, e *entry) {
+	if _, ok := co.changeOf(id); ok {
+		co.enqueue(id, e)
 	}
 }
 
 // resolveConflicts resolves the changes that conflict with the rows and queues the others
 // again.
-func (k *Coordinator) resolveConflicts(group []change, rows []tables.Row, now time.Duration) {
+func (co *Coordinator) resolveConflicts(group []change, rows []tables.Row, now time.Duration) {
 	refused := 0
 	for _, c := range group {
-		e := k.entries[c.id]
+		e := co.entries[c.id]
 		if e == nil {
 			refused++
 			continue
 		}
 		if !c.conflictsWith(rows) {
-			k.requeueIfPending(c.id, e)
+			co.requeueIfPending(c.id, e)
 			continue
 		}
 		refused++
-		k.resolveFromRows(c, e, rows, now)
+		co.resolveFromRows(c, e, rows, now)
 	}
 	if refused == 0 { // the result does not name the conflicting rows, so read them
-		k.pacer.recordFailure(now)
+		co.pacer.recordFailure(now)
 		for _, c := range group {
-			k.effects.ReadRows = append(k.effects.ReadRows, c.id)
+			co.effects.ReadRows = append(co.effects.ReadRows, c.id)
 		}
 	}
 }
 
 // resolveFromRows resolves a conflicting change of a job from the job's rows.
-func (k *Coordinator) resolveFromRows(c change, e *entry, rows []tables.Row, now time.Duration) {
+func (co *Coordinator) resolveFromRows(c change, e *entry, rows []tables.Row, now time.Duration) {
 	if row, ok := findRow(rows, TableEnded, c.id); ok {
-		k.applyEndedRow(c.id, row, now)
+		co.applyEndedRow(c.id, row, now)
 		return
 	}
 	row, ok := findRow(rows, TableOpen, c.id)
 	switch {
 	case !ok && c.kind == end:
-		k.recordEnd(c.id, c.state, c.cell, now) // both rows are removed: it ended long ago
+		co.recordEnd(c.id, c.state, c.cell, now) // both rows are removed: it ended long ago
 	case !ok:
-		k.recordEnd(c.id, Cancelled, e.record.Cell, now)
+		co.recordEnd(c.id, Cancelled, e.record.Cell, now)
 	default:
-		k.adoptOpenRow(c, e, row, now)
+		co.adoptOpenRow(c, e, row, now)
 	}
 }
 
 // adoptOpenRow continues from the stored row of an open job that was accepted before, by
 // this coordinator or another, or that was moved.
-func (k *Coordinator) adoptOpenRow(c change, e *entry, row tables.Row, now time.Duration) {
-	record, err := k.codec.DecodeRecord(c.id, row.Value)
+func (co *Coordinator) adoptOpenRow(c change, e *entry, row tables.Row, now time.Duration) {
+	record, err := co.codec.DecodeRecord(c.id, row.Value)
 	if err != nil {
-		k.reportProblem("kept_row_unreadable", c.id, err)
-		k.abandonUnreadable(c.id, e)
+		co.reportProblem("kept_row_unreadable", c.id, err)
+		co.abandonUnreadable(c.id, e)
 		return
 	}
 	e.record, e.version, e.pendingMove = record, row.Version, nil
 	if c.kind == accept {
 		e.unresolved = true // other coordinators may have read the row
-		k.completeAccept(c.id, e, now)
+		co.completeAccept(c.id, e, now)
 		return
 	}
-	k.requestFollow(e, record.EpochAt(k.Age(&e.record, now)), k.sentAt)
-	k.requeueIfPending(c.id, e)
+	co.requestFollow(e, record.EpochAt(co.Age(&e.record, now)), co.sentAt)
+	co.requeueIfPending(c.id, e)
 }
 
 // abandonUnreadable drops a job whose row cannot be decoded.
-func (k *Coordinator) abandonUnreadable(id string, e *entry) {
+func (co *Coordinator) abandonUnreadable(id string, e *entry) {
 	for _, c := range slices.Concat(e.acceptCalls, e.cancelCalls) {
-		k.answer(c.number, Answer{Verdict: Unknown, Reason: ReasonRowUnreadable, RetryAfter: retryDelay})
+		co.answer(c.number, Answer{Verdict: Unknown, Reason: ReasonRowUnreadable, RetryAfter: retryDelay})
 	}
-	k.removeOpen(id)
+	co.removeOpen(id)
 }
 
 // retryUnapplied queues a group again of which nothing was applied. It refuses new jobs
 // after maxAttempts.
-func (k *Coordinator) retryUnapplied(group []change) {
+func (co *Coordinator) retryUnapplied(group []change) {
 	for _, c := range group {
-		e := k.entries[c.id]
+		e := co.entries[c.id]
 		if e == nil {
 			continue
 		}
 		e.failedWrites++
 		if c.kind == accept && !e.unresolved && e.failedWrites >= maxAttempts {
-			k.refuse(c.id, e)
+			co.refuse(c.id, e)
 			continue
 		}
-		k.enqueue(c.id, e)
+		co.enqueue(c.id, e)
 	}
 }
 
 // retryUnresolved queues a group again that may have been applied or may still be.
-func (k *Coordinator) retryUnresolved(group []change) {
+func (co *Coordinator) retryUnresolved(group []change) {
 	for _, c := range group {
-		e := k.entries[c.id]
+		e := co.entries[c.id]
 		if e == nil {
 			continue
 		}
 		e.unresolved = e.unresolved || c.kind == accept
-		k.enqueue(c.id, e)
+		co.enqueue(c.id, e)
 	}
 }
--- a/pkg/kept/partition.go
+++ b/pkg/kept/partition.go
@@ -7,9 +7,9 @@
 )
 
 // Partitions is the number of partitions of kept jobs. It must never change: every host
-// computes the partition of a job from its id. It is small because a group commit is more
-// efficient with more jobs in a group, and large enough for the transaction rate that the
-// platform allows per partition.
+// computes the partition of a job from its id. It is small, because group commits gain
+// from more jobs in a group. The platform's transaction rate per partition still leaves
+// enough room.
 const Partitions = 8
 
 // The tables of kept jobs. Each job has a row in one of them, under its id, in the part of
--- a/pkg/kept/record.go
+++ b/pkg/kept/record.go
@@ -13,7 +13,7 @@
 	Cell       string        // that runs the job
 	From       string        // the cell that the job was moved from; empty if it was never moved
 	AcceptedAt time.Duration // by the store's clock
-	Epoch      int           // the highest epoch that was in use when the row was written
+	Epoch      int           // the highest epoch of a dispatch before the row was written
 	Job        []byte
 }
 
--- a/pkg/kept/simulation_coordinator_test.go
+++ b/pkg/kept/simulation_coordinator_test.go
@@ -191,42 +191,42 @@
 
 // follower dispatches a job to the successive owners of its cell.
 type follower struct {
-	coordinator *modelCoordinator
-	record      Record
-	epoch       int
-	asOf        time.Duration
-	since       time.Duration
-	dispatched  bool // it has been dispatched to an owner
-	released    bool // the cell that the job was moved from does not run it
-	stopped     bool
+	host       *modelCoordinator
+	record     Record
+	epoch      int
+	asOf       time.Duration
+	since      time.Duration
+	dispatched bool // it has been dispatched to an owner
+	released   bool // the cell that the job was moved from does not run it
+	stopped    bool
 }
 
 func (co *modelCoordinator) follow(f FollowRequest) {
 	if old := co.followers[f.Record.ID]; old != nil {
 		old.stop()
 	}
-	next := &follower{coordinator: co, record: f.Record, epoch: f.Epoch, asOf: f.AsOf, since: co.sim.now}
+	next := &follower{host: co, record: f.Record, epoch: f.Epoch, asOf: f.AsOf, since: co.sim.now}
 	co.followers[f.Record.ID] = next
 	co.sim.after(0, next.dispatch)
 }
 
 func (f *follower) stop() {
 	f.stopped = true
-	f.coordinator.sim.cells[f.record.Cell].leave(f)
+	f.host.sim.cells[f.record.Cell].leave(f)
 }
 
-func (f *follower) over() bool { return f.stopped || !f.coordinator.alive }
+func (f *follower) over() bool { return f.stopped || !f.host.alive }
 
 // dispatch sends the job to the owner of its cell.
 func (f *follower) dispatch() {
-	sim := f.coordinator.sim
+	sim := f.host.sim
 	if f.over() {
 		return
 	}
 	if sim.now > f.asOf+RecordFreshness {
 		began := sim.now
-		f.coordinator.readJob(f.record.ID, func(row *tables.Row) {
-			if f.coordinator.coordinator.IsCurrent(f.record.ID, row) {
+		f.host.readJob(f.record.ID, func(row *tables.Row) {
+			if f.host.coordinator.IsCurrent(f.record.ID, row) {
 				f.asOf = began
 			}
 			sim.after(10*ms, f.dispatch)
@@ -243,7 +243,7 @@
 		return
 	}
 	if f.dispatched || sim.now > f.since+epochInterval {
-		f.epoch = max(f.epoch+1, f.record.EpochAt(f.coordinator.coordinator.Age(&f.record, sim.now)))
+		f.epoch = max(f.epoch+1, f.record.EpochAt(f.host.coordinator.Age(&f.record, sim.now)))
 	}
 	f.dispatched = true
 	epoch := f.epoch
@@ -258,7 +258,7 @@
 
 // confirmReleased checks that the cell that the job was moved from does not run it.
 func (f *follower) confirmReleased() {
-	sim := f.coordinator.sim
+	sim := f.host.sim
 	from := sim.cells[f.record.From].owner
 	if sim.now < f.since+EndNoticeDelay || !from.alive {
 		sim.after(50*ms, f.dispatch)
@@ -288,15 +288,15 @@
 	}
 	moved := f.record
 	moved.Epoch, moved.Cell = f.epoch, cell
-	f.coordinator.handle(func() { f.coordinator.coordinator.Move(moved) })
+	f.host.handle(func() { f.host.coordinator.Move(moved) })
 }
 
-// handleOutcome handles the handleOutcome of a dispatch.
+// handleOutcome handles the outcome of a dispatch.
 func (f *follower) handleOutcome(o job.Outcome) {
 	if f.over() {
 		return
 	}
-	co := f.coordinator
+	co := f.host
 	switch o.Kind {
 	case job.Completed:
 		co.handle(func() { co.coordinator.Finish(f.record.ID, Completed) })
--- a/pkg/kept/simulation_owner_test.go
+++ b/pkg/kept/simulation_owner_test.go
@@ -178,7 +178,7 @@
 
 // answer sends an outcome to a follower.
 func (f *follower) answer(o job.Outcome) {
-	sim := f.coordinator.sim
+	sim := f.host.sim
 	sim.after(sim.between(1*ms, 10*ms), func() { f.handleOutcome(o) })
 }
 
