--- a/pkg/node/broadcast.go
+++ b/pkg/node/broadcast.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// broadcast wakes all that wait for a change.
+// broadcast wakes all goroutines that wait for a change.
 type broadcast struct {
 	mu sync.Mutex
 	ch chan struct{}
--- a/pkg/node/closures.go
+++ b/pkg/node/closures.go
@@ -8,12 +8,12 @@
 	"github.com/foxcroft/foxcroft/pkg/ownership"
 )
 
-// Operators may close a failure domain to new work. All nodes have to know soon:
-// those that follow the store learn of it there, and heartbeats tell the others.
+// Operators may close a failure domain to new work. Nodes that follow the store read the
+// closures there; heartbeats announce them to the others.
 
-// changeClosures takes changes that the store or a peer tells, if they are newer. An
-// error of kind NotFound says that changes before them are missing here, which can't
-// be where all closures are told.
+// changeClosures applies changes from the store or a peer if they are newer. It returns an
+// error of kind NotFound if changes before them are missing here; a list of all closures
+// never causes it.
 func (n *Node) changeClosures(changes catalog.ClosureChanges, from string) error {
 	for {
 		current := n.closures.Load()
@@ -31,7 +31,7 @@
 	}
 }
 
-// closuresChanged has cells and peers act on new closures.
+// closuresChanged applies new closures to the own cells and announces them to peers.
 func (n *Node) closuresChanged(before, after *catalog.Closures, from string) {
 	if after.SameDomains(before) {
 		return
@@ -44,21 +44,18 @@
 	n.tellNews()
 }
 
-// closed reports whether the domain of a claim takes no new work.
+// closed reports whether the domain of a claim is closed to new work.
 func (n *Node) closed(claim ownership.Claim) bool {
 	return n.closures.Load().Closed(ownership.DomainOf(claim.Cell))
 }
 
-// openClaims returns the standing claims on cells that take new work. n.mu is
-// held.
+// openClaims returns the effective claims on cells of open domains. n.mu is held.
 func (n *Node) openClaims() []ownership.Claim {
 	return slices.DeleteFunc(n.claims.Owned(), n.closed)
 }
 
-// noneOpenInSight reports whether waiting for an owner is of no use: the own
-// domain is closed, and no owner of an open one is in sight. Owners that change
-// hands in other domains are back in sight, or seen as lost, before long; that a
-// domain is cut off lasts.
+// noneOpenInSight reports whether a job should not wait for an owner: this node's domain is
+// closed, and no owner of an open domain is reachable.
 func (n *Node) noneOpenInSight() bool {
 	if !n.closures.Load().Closed(n.settings.Domain) {
 		return false
--- a/pkg/node/executors.go
+++ b/pkg/node/executors.go
@@ -10,86 +10,85 @@
 	"github.com/foxcroft/foxcroft/pkg/traffic"
 )
 
-// Paces of following the list of executors in the store, which all nodes share.
+// Intervals and limits of reading the list of executors from the store, which all nodes share.
 const (
-	// readerInterval is that of the node that reads the list for its domain: an
-	// executor that leaves is known as such within two seconds.
+	// readerInterval is how often the node that reads the list for its domain does so.
 	readerInterval = 500 * time.Millisecond
-	// ownersInterval and othersInterval are those at which the other nodes look
-	// whether the store can be read.
+	// ownersInterval and othersInterval are how often the other nodes ping the store:
+	// those that own a cell and those that own none.
 	ownersInterval = time.Second
 	othersInterval = 5 * time.Second
-	// passedLife is how long a node without word of its reader waits before it
-	// reads by itself.
-	passedLife = 2500 * time.Millisecond
-	// firstListPause is how often a node looks whether it has a first list.
-	firstListPause = 50 * time.Millisecond
-	// wholeInterval is the least time between two readings of the whole list. A
-	// list of a hundred takes a link of 2 Mbit/s for a sixth of a second.
-	wholeInterval = 2 * time.Second
-	// urgentInterval is the same for a node that has claimed a cell.
-	urgentInterval = 250 * time.Millisecond
-	// feedLife is how old a position may be to go on from. Executors write their
-	// clocks every 1.5 s, and each time shows in the feed, so that the changes
-	// of a longer time are more than the whole list.
-	feedLife = 1500 * time.Millisecond
-	// lapseTime is how long after the store can be reached again entries of
-	// living executors may be missing.
+	// relayedListExpiry is how long a node waits without a confirmation by its reader
+	// before it reads the list itself.
+	relayedListExpiry = 2500 * time.Millisecond
+	// firstListPollInterval is how often a node that waits for its first list checks for it.
+	firstListPollInterval = 50 * time.Millisecond
+	// fullReadInterval is the minimum time between two reads of the full list, which
+	// takes a slow link a considerable time.
+	fullReadInterval = 2 * time.Second
+	// urgentReadInterval replaces fullReadInterval on a node that has claimed a cell.
+	urgentReadInterval = 250 * time.Millisecond
+	// maxPositionAge is the age up to which reading continues from a position. Each
+	// executor writes its clock every 1.5 s and each write is a change, so that the
+	// changes since an older position outnumber the entries of the full list.
+	maxPositionAge = 1500 * time.Millisecond
+	// lapseTime is how long entries of running executors may be missing from the list
+	// after the store has become reachable again.
 	lapseTime = 3 * time.Second
-	// transferBytes tell, when they came while the store seemed not to answer,
-	// that a long answer of it had taken the link.
-	transferBytes = 32 << 10
-	// unknownAge marks a list that a peer passed on.
+	// largeTransferBytes is the amount of data which, if received from the store while calls
+	// failed, shows that a large response occupied the link and the store was reachable.
+	largeTransferBytes = 32 << 10
+	// unknownAge is the read time of a first list that a peer relayed, which is not known here.
 	unknownAge = -1
 )
 
-// pollExecutors follows the list of executors. One node of a domain reads it
-// and passes changes on; the others look whether the store can be read, and
-// read by themselves when they have claimed a cell, or hear of no reader.
+// pollExecutors keeps the list of executors up to date until ctx ends. One node of a
+// domain reads it and relays the changes. The others only ping the store, and read the
+// list themselves when they have claimed a cell or no reader has confirmed the list.
 func (n *Node) pollExecutors(ctx context.Context) {
 	backoff := firstStoreBackoff
-	failing := false
-	received := uint64(0) // from the store when a look first failed
+	storeFailing := false
+	receivedBefore := uint64(0) // bytes from the store at the first failure
 	for ctx.Err() == nil {
-		duty := n.listDuty()
-		wait := duty.pause
-		asked, err := n.doDuty(ctx, duty)
+		task := n.nextListTask()
+		wait := task.pause
+		askedStore, err := n.runListTask(ctx, task)
 		switch {
-		case !asked:
-			// Nothing was learnt of the store.
+		case !askedStore:
+			// The result says nothing about the store.
 		case err != nil:
 			n.metrics.StoreFailed("executors")
 			n.storeFails.Store(true)
 			n.readingSince.Store(0)
-			if !failing {
-				received = n.meter.Of(traffic.Store).In()
+			if !storeFailing {
+				receivedBefore = n.meter.Of(traffic.Store).In()
 			}
-			failing = true
+			storeFailing = true
 			wait = backoff
 			backoff = min(2*backoff, lastStoreBackoff)
 		default:
 			n.storeFails.Store(false)
-			if failing && n.meter.Of(traffic.Store).In() < received+transferBytes {
+			if storeFailing && n.meter.Of(traffic.Store).In() < receivedBefore+largeTransferBytes {
 				n.regained.signal()
 			}
-			failing = false
+			storeFailing = false
 			backoff = firstStoreBackoff
 		}
-		n.sleepUnlessClaimed(ctx, common.Jitter(wait, common.Unit()))
+		n.sleepUnlessListRequested(ctx, common.Jitter(wait, common.Unit()))
 	}
 }
 
-// askForList has the list of executors read without a pause.
+// askForList ends the pause before the next read of the list of executors.
 func (n *Node) askForList() {
 	select {
 	case n.claimed <- struct{}{}:
-	default: // it is asked for already
+	default: // already requested
 	}
 }
 
-// sleepUnlessClaimed waits for d, or until the list is asked for: by a cell that
-// was claimed, or as this node is to read it for its domain from now on.
-func (n *Node) sleepUnlessClaimed(ctx context.Context, d time.Duration) {
+// sleepUnlessListRequested waits for d, or until the list is requested: because a cell
+// was claimed, or because this node has become the reader of its domain.
+func (n *Node) sleepUnlessListRequested(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -99,40 +98,39 @@
 	}
 }
 
-// listDuty is what a node does next to follow the list.
-type listDuty struct {
-	idle    bool // nothing
-	read    bool // the list or its changes; else the node only looks whether the store can be read
-	follows bool // by the reader of another domain, if that one can tell
-	urgent  bool // an owner waits for it
+// listTask is the next step of a node in keeping the list up to date.
+type listTask struct {
+	idle    bool // do nothing
+	read    bool // read the list or its changes; else only ping the store
+	follows bool // try the reader of the leading domain first
+	urgent  bool // an owner needs the list
 	pause   time.Duration
 }
 
-// listDuty decides what to do next.
-func (n *Node) listDuty() listDuty {
+func (n *Node) nextListTask() listTask {
 	owners := n.allOwners()
 	reads := n.readsForDomain()
 	n.readsList.Store(reads)
 	switch {
 	case n.awaitsFirstList():
-		return listDuty{idle: true, pause: firstListPause}
-	case n.ownersWait(owners):
-		return listDuty{read: true, urgent: true, pause: urgentInterval}
+		return listTask{idle: true, pause: firstListPollInterval}
+	case n.ownersNeedReading(owners):
+		return listTask{read: true, urgent: true, pause: urgentReadInterval}
 	case reads && n.followsLeading():
-		return listDuty{read: true, follows: true, pause: followInterval}
+		return listTask{read: true, follows: true, pause: followInterval}
 	case reads:
-		return listDuty{read: true, pause: readerInterval}
-	case n.executors.Load() == nil || n.readerLost():
-		return listDuty{read: true, pause: ownersInterval}
+		return listTask{read: true, pause: readerInterval}
+	case n.executors.Load() == nil || n.listConfirmationExpired():
+		return listTask{read: true, pause: ownersInterval}
 	case len(owners) > 0:
-		return listDuty{pause: ownersInterval}
+		return listTask{pause: ownersInterval}
 	}
-	return listDuty{pause: othersInterval}
+	return listTask{pause: othersInterval}
 }
 
-// ownersWait reports whether a cell was claimed since the list was last read,
-// or whether a reading would now name all executors of its former owner.
-func (n *Node) ownersWait(owners []*owner) bool {
+// ownersNeedReading reports whether a cell was claimed after the list was last read, or
+// whether a read would now list all executors of a cell's former owner for the first time.
+func (n *Node) ownersNeedReading(owners []*owner) bool {
 	current := n.executors.Load()
 	if current == nil {
 		return false
@@ -147,13 +145,13 @@
 	return false
 }
 
-// readerLost reports whether the list hasn't been confirmed for too long.
-func (n *Node) readerLost() bool {
-	return n.Clock.Now() > n.listConfirmedAt()+passedLife
+// listConfirmationExpired reports whether the list hasn't been confirmed for too long.
+func (n *Node) listConfirmationExpired() bool {
+	return n.Clock.Now() > n.listConfirmedAt()+relayedListExpiry
 }
 
-// listConfirmedAt returns when this node, or the reader of its domain, last asked
-// the store for the list, as far as is known here.
+// listConfirmedAt returns when this node or the reader of its domain is known to have last
+// requested the list from the store.
 func (n *Node) listConfirmedAt() time.Duration {
 	confirmed := time.Duration(n.passedAt.Load())
 	if current := n.executors.Load(); current != nil {
@@ -162,41 +160,41 @@
 	return confirmed
 }
 
-// doDuty follows the list, and reports whether it asked the store for anything.
-func (n *Node) doDuty(ctx context.Context, duty listDuty) (asked bool, err error) {
+// runListTask executes a task and reports whether it called the store.
+func (n *Node) runListTask(ctx context.Context, task listTask) (askedStore bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	askedAt := n.Clock.Now()
-	if duty.idle {
+	if task.idle {
 		return false, nil
 	}
-	followed := duty.follows && n.askLeading(ctx, askedAt)
-	if duty.read && !followed {
-		return true, n.readExecutors(ctx, askedAt, duty.urgent)
+	followed := task.follows && n.fetchFromLeading(ctx, askedAt)
+	if task.read && !followed {
+		return true, n.readExecutors(ctx, askedAt, task.urgent)
 	}
-	if followed && !n.leading.lookIsDue(askedAt) {
+	if followed && !n.leading.pingIsDue(askedAt) {
 		return false, nil
 	}
-	return true, n.lookAtStore(ctx, askedAt)
+	return true, n.pingStore(ctx, askedAt)
 }
 
-// lookAtStore asks the store for nothing but an answer.
-func (n *Node) lookAtStore(ctx context.Context, askedAt time.Duration) error {
+func (n *Node) pingStore(ctx context.Context, askedAt time.Duration) error {
 	if err := n.store.Ping(ctx); err != nil {
 		return err
 	}
-	n.noteReading(askedAt)
-	n.forgetVanished()
+	n.recordReadable(askedAt)
+	n.removeVanished()
 	return nil
 }
 
-// noteReading notes since when the store can be read.
-func (n *Node) noteReading(askedAt time.Duration) {
+// recordReadable records since when the store has been readable, unless that is known.
+func (n *Node) recordReadable(askedAt time.Duration) {
 	n.readingSince.CompareAndSwap(0, int64(askedAt))
 }
 
-// forgetVanished drops executors that have been missing for long enough.
-func (n *Node) forgetVanished() {
+// removeVanished republishes the list if executors are missing from it, so that those
+// missing for longer than their retention are removed.
+func (n *Node) removeVanished() {
 	n.listing.Lock()
 	defer n.listing.Unlock()
 	if current := n.executors.Load(); current != nil && n.history.Vanished() > 0 {
@@ -204,12 +202,13 @@
 	}
 }
 
-// readExecutors asks the store for what has changed, or for the whole list.
+// readExecutors reads the changes of the list from the store, or the full list if the
+// changes can't or shouldn't be read.
 func (n *Node) readExecutors(ctx context.Context, askedAt time.Duration, urgent bool) error {
 	n.listing.Lock()
-	whole, position := n.roster.NeedsFull(), n.roster.Position()
+	full, position := n.roster.NeedsFull(), n.roster.Position()
 	n.listing.Unlock()
-	if whole || n.positionIsOld(askedAt) {
+	if full || n.positionIsOld(askedAt) {
 		return n.readAllExecutors(ctx, askedAt, urgent)
 	}
 	err := n.readChanges(ctx, askedAt, position)
@@ -223,68 +222,69 @@
 	return err
 }
 
-// readChanges asks for what has changed until the store has no more to tell: of
-// thousands of executors more changes than an answer holds within readerInterval.
+// readChanges reads changes until the store reports no more: thousands of executors
+// write more changes within readerInterval than one response holds.
 func (n *Node) readChanges(ctx context.Context, askedAt time.Duration, position uint64) error {
 	for {
 		changes, err := n.store.ExecutorChanges(ctx, position)
 		if err != nil {
 			return err
 		}
-		n.noteUnreadable(tableOfExecutors, changes.Unreadable)
+		n.recordUnreadable(tableOfExecutors, changes.Unreadable)
 		if !changes.More {
-			n.takeReading(askedAt, func() (accepted, news bool) {
+			n.applyReading(askedAt, func() (accepted, changed bool) {
 				return true, n.roster.ApplyChanges(changes)
 			})
 			return nil
 		}
-		n.takePart(changes)
+		n.applyPartialChanges(changes)
 		position = changes.Revision
 	}
 }
 
-// takePart takes changes that don't tell the state as of now yet.
-func (n *Node) takePart(changes *catalog.ExecutorChanges) {
+// applyPartialChanges applies changes that are followed by more, and therefore don't
+// confirm the list as of now.
+func (n *Node) applyPartialChanges(changes *catalog.ExecutorChanges) {
 	n.listing.Lock()
 	defer n.listing.Unlock()
-	n.takeAsOf(n.executors.Load().askedAt, func() (accepted, news bool) {
+	n.applyAsOf(n.executors.Load().askedAt, func() (accepted, changed bool) {
 		return true, n.roster.ApplyChanges(changes)
 	})
 }
 
-// takeReading takes an answer of the store into the roster, acts on it and
-// passes it on.
-func (n *Node) takeReading(askedAt time.Duration, take func() (accepted, news bool)) {
-	n.noteReading(askedAt)
+// applyReading applies a response of the store to the roster, publishes the result and
+// relays it.
+func (n *Node) applyReading(askedAt time.Duration, apply func() (accepted, changed bool)) {
+	n.recordReadable(askedAt)
 	n.listing.Lock()
 	defer n.listing.Unlock()
-	n.takeAsOf(askedAt, take)
+	n.applyAsOf(askedAt, apply)
 }
 
-// takeAsOf takes an answer of the store that tells the state as of the time at
-// which it was asked. n.listing is held.
-func (n *Node) takeAsOf(askedAt time.Duration, take func() (accepted, news bool)) {
+// applyAsOf applies a response that holds the state of the store at askedAt. n.listing is
+// held.
+func (n *Node) applyAsOf(askedAt time.Duration, apply func() (accepted, changed bool)) {
 	before := n.roster.Revision()
-	accepted, news := take()
+	accepted, changed := apply()
 	if !accepted {
 		return
 	}
-	n.publish(news, askedAt)
-	n.passOn(before)
+	n.publish(changed, askedAt)
+	n.relayChanges(before)
 }
 
-// positionIsOld reports whether the changes since the last reading are likely to
-// be more than the whole list.
+// positionIsOld reports whether the changes since the last read are likely to outnumber
+// the entries of the full list.
 func (n *Node) positionIsOld(now time.Duration) bool {
 	current := n.executors.Load()
-	return current == nil || now > current.askedAt+feedLife
+	return current == nil || now > current.askedAt+maxPositionAge
 }
 
-// readAllExecutors reads the whole list, unless it has just done so.
+// readAllExecutors reads the full list, unless it was read a short time ago.
 func (n *Node) readAllExecutors(ctx context.Context, askedAt time.Duration, urgent bool) error {
-	pause := wholeInterval
+	pause := fullReadInterval
 	if urgent {
-		pause = urgentInterval
+		pause = urgentReadInterval
 	}
 	n.listing.Lock()
 	may := n.roster.MayReadFull(askedAt, pause)
@@ -296,26 +296,26 @@
 	if err != nil {
 		return err
 	}
-	n.noteUnreadable(tableOfExecutors, list.Unreadable)
-	n.takeReading(askedAt, func() (accepted, news bool) {
+	n.recordUnreadable(tableOfExecutors, list.Unreadable)
+	n.applyReading(askedAt, func() (accepted, changed bool) {
 		return n.roster.ApplyFull(list, n.Clock.Now())
 	})
 	return nil
 }
 
-// publish has the node act on what the roster says, which the store was asked
-// for at askedAt. n.listing is held.
+// publish makes the state of the roster, which was requested from the store at askedAt,
+// the list that the node and its owners use. n.listing is held.
 func (n *Node) publish(changed bool, askedAt time.Duration) {
 	current := n.executors.Load()
 	var next *listing
 	if changed || current == nil || n.history.Vanished() > 0 {
-		executors, checked := n.called(n.history.Join(n.roster.Executors(), n.Clock.Now()))
+		executors, checked := n.callableExecutors(n.history.Join(n.roster.Executors(), n.Clock.Now()))
 		sizes := sizesOf(executors)
 		next = newListing(askedAt, executors, sizes, n.cellCounts(sizes))
-		next.checked = checked
-		next.follow(n.settings.Name, n.settings.Domain)
+		next.servicesChecked = checked
+		next.chooseFollowed(n.settings.Name, n.settings.Domain)
 	} else {
-		next = current.confirmed(askedAt)
+		next = current.withAskedAt(askedAt)
 	}
 	since := time.Duration(n.readingSince.Load())
 	next.steady = since > 0 && askedAt >= since+lapseTime
--- a/pkg/node/fetches.go
+++ b/pkg/node/fetches.go
@@ -2,32 +2,31 @@
 
 import "sync"
 
-// fetchesAtOnce is how many peers are asked for the same news at once: more
-// than one, as a peer may have fallen silent, and no more, as a list of
-// executors takes hundreds of kilobytes.
-const fetchesAtOnce = 2
+// maxFetches is the number of concurrent fetches of the same kind: more than one because a
+// peer may be unresponsive, and few because a list of executors is large.
+const maxFetches = 2
 
-// fetches counts the peers that are being asked, by kind of news.
+// fetches counts the running fetches by kind of snapshot.
 type fetches struct {
-	mu    sync.Mutex
-	count map[uint32]int
+	mu      sync.Mutex
+	running map[uint32]int
 }
 
-func newFetches() *fetches { return &fetches{count: map[uint32]int{}} }
+func newFetches() *fetches { return &fetches{running: map[uint32]int{}} }
 
-// begin reports whether one more peer may be asked, and counts it.
+// begin reports whether one more fetch may start, and if so counts it.
 func (f *fetches) begin(kind uint32) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.count[kind] >= fetchesAtOnce {
+	if f.running[kind] >= maxFetches {
 		return false
 	}
-	f.count[kind]++
+	f.running[kind]++
 	return true
 }
 
 func (f *fetches) end(kind uint32) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.count[kind]--
+	f.running[kind]--
 }
--- a/pkg/node/fetches_test.go
+++ b/pkg/node/fetches_test.go
@@ -6,18 +6,18 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// After a restart of everything each of a hundred peers tells of the same list.
-func TestFewPeersAreAskedForTheSameNews(t *testing.T) {
+// Guards against fetching the same list from every peer that announces it.
+func TestFetchesOfAKindAreLimited(t *testing.T) {
 	c := qt.New(t)
 	f := newFetches()
-	asked := 0
+	started := 0
 	for range 100 {
 		if f.begin(newsExecutors) {
-			asked++
+			started++
 		}
 	}
-	c.Assert(asked, qt.Equals, fetchesAtOnce)
-	c.Assert(f.begin(newsConfiguration), qt.IsTrue, qt.Commentf("other news are asked for beside"))
+	c.Assert(started, qt.Equals, maxFetches)
+	c.Assert(f.begin(newsConfiguration), qt.IsTrue, qt.Commentf("other kinds are counted separately"))
 	f.end(newsExecutors)
-	c.Assert(f.begin(newsExecutors), qt.IsTrue, qt.Commentf("the next once one has answered"))
+	c.Assert(f.begin(newsExecutors), qt.IsTrue, qt.Commentf("a fetch has ended"))
 }
--- a/pkg/node/follow.go
+++ b/pkg/node/follow.go
@@ -9,42 +9,40 @@
 	"github.com/foxcroft/foxcroft/pkg/errkind"
 )
 
-// followed is a table of the store that this node follows: it is read whole
+// followedTable is a table of the store that this node keeps a copy of: it is read in full
 // once, and by its changes from then on.
-type followed struct {
-	name     string
-	read     func(ctx context.Context) (position uint64, err error)               // takes the whole table in
-	await    func(ctx context.Context, after uint64) (position uint64, err error) // waits for changes and takes them in
-	pause    func() time.Duration                                                 // between waits; nil for none
-	passedOn func() bool                                                          // the table need not be followed now: a peer passes it on; nil for never
-	known    func() uint64                                                        // the position of what a peer has passed on; nil for none
-	fails    *atomic.Bool                                                         // whether the last call failed; nil when nobody asks
+type followedTable struct {
+	name            string
+	read            func(ctx context.Context) (position uint64, err error)               // reads and applies the full table
+	await           func(ctx context.Context, after uint64) (position uint64, err error) // waits for changes and applies them
+	pause           func() time.Duration                                                 // between waits; nil for none
+	relayed         func() bool                                                          // a peer relays the table, which need not be followed meanwhile; nil for never
+	relayedPosition func() uint64                                                        // the position up to which peers have relayed the table; nil if they don't
+	failing         *atomic.Bool                                                         // set to whether the last call failed; nil if not needed
 }
 
-// isPassedOn reports whether the table need not be followed now.
-func (t *followed) isPassedOn() bool { return t.passedOn != nil && t.passedOn() }
+func (t *followedTable) isRelayed() bool { return t.relayed != nil && t.relayed() }
 
-// recheckInterval is how often a node that need not follow a table looks whether
-// that is still so.
+// recheckInterval is how often a node checks whether a table is relayed to it.
 const recheckInterval = 200 * time.Millisecond
 
-// follower keeps up with a table.
+// follower keeps a node's copy of a table up to date.
 type follower struct {
 	node     *Node
-	table    followed
-	position uint64 // of the store's history up to which the table is known; 0 when it has to be read whole
-	floor    uint64 // the history up to here is gone
+	table    followedTable
+	position uint64 // in the store's history up to which the table is known; 0 when it has to be read in full
+	floor    uint64 // the store has removed the history up to here
 	backoff  time.Duration
 	down     bool
 }
 
-// follow keeps up with a table until ctx ends. Failures slow it down. Only lost
-// history has the table read whole again.
-func (n *Node) follow(ctx context.Context, table followed) {
+// follow keeps the copy of a table up to date until ctx ends, with backoff after failures.
+// The table is read in full again only when the store no longer has the history.
+func (n *Node) follow(ctx context.Context, table followedTable) {
 	f := &follower{node: n, table: table, backoff: firstStoreBackoff}
 	for ctx.Err() == nil {
 		f.advance()
-		if f.mayWait() {
+		if f.mayIdle() {
 			common.Sleep(ctx, recheckInterval)
 			continue
 		}
@@ -52,45 +50,45 @@
 		switch {
 		case err == nil:
 			f.succeeded(ctx, next)
-		case f.mayWait():
-			// The wait was ended for that.
+		case f.mayIdle():
+			// cancelIdleCall has ended the call for this reason.
 		default:
 			f.failed(ctx, err)
 		}
 	}
 }
 
-func (f *follower) mayWait() bool { return f.position > 0 && f.table.isPassedOn() }
+func (f *follower) mayIdle() bool { return f.position > 0 && f.table.isRelayed() }
 
-// advance goes on from what a peer has passed on, where that is newer. A
-// position whose history is gone is of no use.
+// advance moves the position to that of the relayed table if it is newer, and if the store
+// still has the history from there.
 func (f *follower) advance() {
-	if f.table.known == nil {
+	if f.table.relayedPosition == nil {
 		return
 	}
-	if known := f.table.known(); known > max(f.position, f.floor) {
+	if known := f.table.relayedPosition(); known > max(f.position, f.floor) {
 		f.position = known
 	}
 }
 
-// ask reads the table, or waits for its next change.
+// ask reads the full table, or waits for its next change.
 func (f *follower) ask(ctx context.Context) (uint64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	known := f.position > 0
-	go f.endIdle(ctx, f.node.regained.wait(), known, cancel)
+	go f.cancelIdleCall(ctx, f.node.regained.wait(), known, cancel)
 	if known {
 		return f.table.await(ctx, f.position)
 	}
-	ctx, cancelRead := context.WithTimeout(ctx, wholeTimeout)
+	ctx, cancelRead := context.WithTimeout(ctx, fullReadTimeout)
 	defer cancelRead()
 	return f.table.read(ctx)
 }
 
-// endIdle ends a call when a peer passes the table on from now on, or when the
-// store answers again: a call that it swallowed while it was silent would never
-// be answered. known tells that the table need not be read whole.
-func (f *follower) endIdle(ctx context.Context, regained <-chan struct{}, known bool, cancel context.CancelFunc) {
+// cancelIdleCall cancels a call when a peer begins to relay the table, or when the store
+// responds again after a failure: it may never answer a call that it received before.
+// known reports that the table need not be read in full.
+func (f *follower) cancelIdleCall(ctx context.Context, regained <-chan struct{}, known bool, cancel context.CancelFunc) {
 	ticker := time.NewTicker(recheckInterval)
 	defer ticker.Stop()
 	for {
@@ -101,7 +99,7 @@
 			cancel()
 			return
 		case <-ticker.C:
-			if known && f.table.isPassedOn() {
+			if known && f.table.isRelayed() {
 				cancel()
 				return
 			}
@@ -137,7 +135,7 @@
 
 func (f *follower) setDown(down bool) {
 	f.down = down
-	if f.table.fails != nil {
-		f.table.fails.Store(down)
+	if f.table.failing != nil {
+		f.table.failing.Store(down)
 	}
 }
--- a/pkg/node/heartbeat.go
+++ b/pkg/node/heartbeat.go
@@ -10,121 +10,120 @@
 )
 
 const (
-	// heartbeatLife is how long a heartbeat is good for all links. An owner
-	// with many links would else count its queue anew for each of them.
-	heartbeatLife = 40 * time.Millisecond
-	// gossipEvery is how many heartbeats are made between those that tell the
-	// addresses of the domain's nodes.
+	// maxHeartbeatAge is how long the same heartbeat is sent on all links, so that an owner
+	// with many links doesn't count its queue for each of them.
+	maxHeartbeatAge = 40 * time.Millisecond
+	// gossipEvery: one in this many heartbeats contains the addresses of the domain's nodes.
 	gossipEvery = 256
-	// ownersEvery is how many are made between those that tell all owners, and
-	// ownersTime how long each tells the owner of a cell that has changed: long
-	// enough for one on every fast link.
-	ownersEvery = 16
-	ownersTime  = 600 * time.Millisecond
+	// allOwnersEvery: one in this many heartbeats contains the owners of all cells.
+	// newOwnerPeriod is how long every heartbeat contains the new owner of a cell. It is
+	// longer than the heartbeat interval of fast links.
+	allOwnersEvery = 16
+	newOwnerPeriod = 600 * time.Millisecond
 )
 
-// heartbeats keeps the newest heartbeat for a moment.
+// heartbeats caches the newest heartbeat.
 type heartbeats struct {
-	mu     sync.Mutex
-	newest *peerpb.Heartbeat // nil when a new one has to be made
-	madeAt time.Duration
-	made   uint64
+	mu       sync.Mutex
+	newest   *peerpb.Heartbeat // nil when a new one has to be built
+	madeAt   time.Duration
+	sequence uint64
 
-	owners map[string]toldOwner // by cell
+	owners map[string]announcedOwner // by cell
 }
 
-// toldOwner is the owner of a cell that heartbeats have told of.
-type toldOwner struct {
+// announcedOwner is the owner of a cell that heartbeats have announced.
+type announcedOwner struct {
 	address string
-	since   time.Duration // when it was first told
+	since   time.Duration // when it was first announced
 }
 
-// ownersToTell returns the owners that are news, or all of them.
-func (h *heartbeats) ownersToTell(claims []ownership.Claim, all bool, now time.Duration) []*peerpb.CellOwner {
+// ownersToAnnounce returns the owners that have changed within newOwnerPeriod, or all.
+func (h *heartbeats) ownersToAnnounce(claims []ownership.Claim, all bool, now time.Duration) []*peerpb.CellOwner {
 	if h.owners == nil {
-		h.owners = map[string]toldOwner{}
+		h.owners = map[string]announcedOwner{}
 	}
 	var owners []*peerpb.CellOwner
 	for _, claim := range claims {
-		told, known := h.owners[claim.Cell]
-		if !known || told.address != claim.Owner {
-			told = toldOwner{address: claim.Owner, since: now}
-			h.owners[claim.Cell] = told
+		announced, known := h.owners[claim.Cell]
+		if !known || announced.address != claim.Owner {
+			announced = announcedOwner{address: claim.Owner, since: now}
+			h.owners[claim.Cell] = announced
 		}
-		if all || now < told.since+ownersTime {
+		if all || now < announced.since+newOwnerPeriod {
 			owners = append(owners, &peerpb.CellOwner{Cell: claim.Cell, Owner: claim.Owner})
 		}
 	}
 	return owners
 }
 
-// outdate has the next heartbeat made anew.
+// outdate invalidates the cached heartbeat.
 func (h *heartbeats) outdate() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.newest = nil
 }
 
-// Heartbeat implements peer.Observer. What it returns is not to be changed.
+// Heartbeat implements peer.Observer. The result is shared and must not be modified.
 func (n *Node) Heartbeat() *peerpb.Heartbeat {
 	h := &n.heartbeats
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := n.Clock.Now()
-	if h.newest == nil || now >= h.madeAt+heartbeatLife {
-		h.made++
-		h.newest = n.makeHeartbeat(h.made%gossipEvery == 1, h.made%ownersEvery == 1, now)
+	if h.newest == nil || now >= h.madeAt+maxHeartbeatAge {
+		h.sequence++
+		h.newest = n.makeHeartbeat(h.sequence%gossipEvery == 1, h.sequence%allOwnersEvery == 1, now)
 		h.madeAt = now
 	}
 	return h.newest
 }
 
-// heartbeatFor returns the heartbeat that answers one of a peer. A peer that
-// hasn't read the rows is told of the nodes of its domain that are seen here.
-func (n *Node) heartbeatFor(from *peerpb.Hello, beat *peerpb.Heartbeat) *peerpb.Heartbeat {
+// heartbeatFor returns the response to a peer's heartbeat. For a peer that hasn't read the
+// hosts' rows it contains the nodes of the peer's domain that are reachable from here.
+func (n *Node) heartbeatFor(from *peerpb.Hello, heartbeat *peerpb.Heartbeat) *peerpb.Heartbeat {
 	own := n.Heartbeat()
-	if !beat.Unlisted {
+	if !heartbeat.Unlisted {
 		return own
 	}
-	answer := proto.Clone(own).(*peerpb.Heartbeat)
+	response := proto.Clone(own).(*peerpb.Heartbeat)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range n.members.View(n.inc).Peers {
 		if p.Domain == from.Domain && p.Address != from.Address && !p.Leaving {
-			answer.Neighbours = append(answer.Neighbours, p.Address)
+			response.Neighbours = append(response.Neighbours, p.Address)
 		}
 	}
-	return answer
+	return response
 }
 
-// makeHeartbeat makes a heartbeat, with all addresses and all owners if asked to.
-// The lock of the heartbeats is held.
+// makeHeartbeat builds a heartbeat, if requested with the addresses of the domain's nodes and
+// the owners of all cells. n.heartbeats.mu is held.
 func (n *Node) makeHeartbeat(gossip, owners bool, now time.Duration) *peerpb.Heartbeat {
-	beat := &peerpb.Heartbeat{Leaving: n.leaving.Load(), StoreFails: n.storeIsOut()}
+	heartbeat := &peerpb.Heartbeat{Leaving: n.leaving.Load(), StoreFails: n.storeIsOut()}
 	if current := n.configuration.Load(); current != nil {
-		beat.Version = current.snapshot.Revision
+		heartbeat.Version = current.snapshot.Revision
 	}
 	if listing := n.executors.Load(); listing != nil {
-		beat.ExecutorsRevision = listing.revision
+		heartbeat.ExecutorsRevision = listing.revision
 	}
 	if closures := n.closures.Load(); closures != nil {
-		beat.ClosuresPosition, beat.ClosedDomains = closures.Position, closures.Domains
+		heartbeat.ClosuresPosition, heartbeat.ClosedDomains = closures.Position, closures.Domains
 	}
 	for _, claim := range n.ownClaims() {
-		beat.Cells = append(beat.Cells, toCellLoad(claim))
+		heartbeat.Cells = append(heartbeat.Cells, toCellLoad(claim))
 	}
 	for route, count := range n.ownWaiting() {
-		beat.RouteCounts = append(beat.RouteCounts, &peerpb.RouteCount{Route: route, Waiting: uint32(count)})
+		heartbeat.RouteCounts = append(heartbeat.RouteCounts, &peerpb.RouteCount{Route: route, Waiting: uint32(count)})
 	}
-	beat.ReadsList = n.readsNow()
+	heartbeat.ReadsList = n.readsNow()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	beat.Unlisted = !n.rowsRead
-	beat.Owners = n.heartbeats.ownersToTell(n.claims.Owned(), owners, now)
+	heartbeat.Unlisted = !n.rowsRead
+	heartbeat.Owners = n.heartbeats.ownersToAnnounce(n.claims.Owned(), owners, now)
 	if gossip {
 		for _, p := range n.members.View(n.inc).Domain() {
-			beat.Addresses = append(beat.Addresses, p.Address)
+			heartbeat.Addresses = append(heartbeat.Addresses, p.Address)
 		}
 	}
-	return beat
+	return heartbeat
 }
--- /dev/null
+++ b/pkg/node/heartbeat_handling.go
@@ -0,0 +1,87 @@
+package node
+
+import (
+	"github.com/foxcroft/foxcroft/pkg/catalog"
+	"github.com/foxcroft/foxcroft/pkg/peerpb"
+)
+
+// HeartbeatReply implements peer.Observer.
+func (n *Node) HeartbeatReply(address string, reply *peerpb.Message) {
+	n.takeMoment(address, reply)
+	n.handleHeartbeat(address, reply.GetHeartbeat())
+}
+
+// handleHeartbeat applies a peer's heartbeat.
+func (n *Node) handleHeartbeat(address string, heartbeat *peerpb.Heartbeat) {
+	changes, up := n.recordHeartbeat(address, heartbeat)
+	if !up {
+		return // claims of an unreachable peer can't be used
+	}
+	if changes.claims {
+		n.heartbeats.outdate()
+		n.changed.signal()
+		n.links.NudgeOne(address) // heartbeats to owners are more frequent
+	}
+	if changes.addresses {
+		n.refreshLinks()
+	}
+	closures := catalog.ClosureChanges{Position: heartbeat.ClosuresPosition, Closed: heartbeat.ClosedDomains}
+	if err := n.changeClosures(closures, address); err != nil {
+		n.Log.Error("closures_not_taken", "from", address, "error", err.Error())
+	}
+	n.fetchNewer(address, heartbeat)
+}
+
+// heartbeatChanges is what a received heartbeat has changed on this node.
+type heartbeatChanges struct {
+	claims    bool // the peer's claims
+	addresses bool // the hosts to keep links to
+}
+
+// recordHeartbeat records what a heartbeat reports of its sender and of other hosts. up is
+// whether the link to the sender is up; without it nothing is recorded.
+func (n *Node) recordHeartbeat(address string, heartbeat *peerpb.Heartbeat) (changes heartbeatChanges, up bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	p, up := n.members.UpAt(address)
+	if !up {
+		return heartbeatChanges{}, false
+	}
+	if p.Leaving != heartbeat.Leaving {
+		p.Leaving = heartbeat.Leaving
+		n.members.Refresh(p)
+		n.viewVersion.Add(1)
+	}
+	changes.claims = n.claims.SetClaims(address, fromCellLoads(heartbeat.Cells))
+	n.peerCounts[address] = fromRouteCounts(heartbeat.RouteCounts)
+	n.storeless[address] = heartbeat.StoreFails
+	now := n.Clock.Now()
+	newOwner := n.members.AddAddresses(n.ownersToFollow(heartbeat.Owners), now)
+	newNeighbour := n.members.AddAddresses(without(heartbeat.Neighbours, n.settings.PeerAddress), now)
+	changes.addresses = newOwner || newNeighbour
+	n.readers[address] = heartbeat.ReadsList
+	if p.Domain != n.settings.Domain {
+		return changes, true
+	}
+	changes.addresses = n.members.AddDomainAddresses(heartbeat.Addresses, now) || changes.addresses
+	if heartbeat.ReadsList {
+		n.passedAt.Store(int64(now))
+	}
+	return changes, true
+}
+
+// ownersToFollow returns the addresses of the owners, of those that a peer reported, to
+// which this node keeps links.
+func (n *Node) ownersToFollow(reported []*peerpb.CellOwner) []string {
+	listing := n.executors.Load()
+	if listing == nil {
+		return nil
+	}
+	var addresses []string
+	for _, o := range reported {
+		if listing.followed[o.Cell] && o.Owner != n.settings.PeerAddress {
+			addresses = append(addresses, o.Owner)
+		}
+	}
+	return addresses
+}
--- a/pkg/node/leading.go
+++ b/pkg/node/leading.go
@@ -11,50 +11,50 @@
 	"github.com/foxcroft/foxcroft/pkg/peerpb"
 )
 
-// The store tells the rows of all executors, and each row changes with its executor's clock:
-// some 140 bytes a second for each executor of the whole fleet come to whoever follows them.
-// So not the reader of each domain does, but only that of the leading one. The others'
-// ask it for what has changed beyond clocks, as far as it can tell a fresh list; else they
-// read the store themselves, as they do where domains are cut off from each other.
+// Each executor's row in the store changes with the executor's clock, so that reading the
+// changes takes bandwidth in proportion to the number of all executors. Only the reader of
+// one domain, the leading domain, therefore reads the store. The readers of the other
+// domains fetch from it the changes other than clocks. Where they can't get a fresh list
+// from it, for example because the domains are partitioned, they read the store themselves.
 
 const (
-	// followInterval is how often the readers of the other domains ask. A change takes
-	// that much longer to get to their domains.
+	// followInterval is how often the readers of the other domains fetch the changes. It
+	// adds to the time that a change takes to reach their domains.
 	followInterval = 200 * time.Millisecond
-	// followTimeout is how long they wait for the answer.
+	// followTimeout is how long they wait for the response.
 	followTimeout = 300 * time.Millisecond
-	// leadingFresh is how old the list of the one that is asked may be: it is read each
-	// readerInterval, and the reading takes a moment.
-	leadingFresh = 900 * time.Millisecond
-	// followPause is how long a reader goes on by itself when it got no fresh list.
-	followPause = 2 * time.Second
-	// leadingAsked is how many hosts of the leading domain are asked, one after the other.
-	leadingAsked = 2
+	// maxLeadingListAge is the age up to which the list of a queried host counts as fresh.
+	// It covers readerInterval and the duration of a read.
+	maxLeadingListAge = 900 * time.Millisecond
+	// followRetryDelay is how long a reader that got no fresh list reads the store itself.
+	followRetryDelay = 2 * time.Second
+	// leadingHostsAsked is how many hosts of the leading domain are queried, one after the
+	// other.
+	leadingHostsAsked = 2
 )
 
-// leading is what the reader of a domain remembers of following another one. Only the
-// goroutine that follows the list uses it.
+// leading is the state of a reader that fetches the list from the leading domain. Only the
+// goroutine that runs pollExecutors uses it.
 type leading struct {
-	againAt  time.Duration // nobody is asked before
-	lookedAt time.Duration // the store was asked for an answer last
+	retryAt  time.Duration // no host is queried before
+	pingedAt time.Duration // the last ping of the store
 }
 
-// mayFollow reports whether others may be asked for the list now.
-func (l *leading) mayFollow(now time.Duration) bool { return now >= l.againAt }
+// mayFollow reports whether hosts of the leading domain may be queried now.
+func (l *leading) mayFollow(now time.Duration) bool { return now >= l.retryAt }
 
-// lookIsDue reports whether it is time to look whether the store can be read, as other
-// owners of cells do, and notes that it is done.
-func (l *leading) lookIsDue(now time.Duration) bool {
-	if now < l.lookedAt+ownersInterval {
+// pingIsDue reports whether the store has to be pinged now, which a reader does as often as
+// other owners of cells, and if so records the ping.
+func (l *leading) pingIsDue(now time.Duration) bool {
+	if now < l.pingedAt+ownersInterval {
 		return false
 	}
-	l.lookedAt = now
+	l.pingedAt = now
 	return true
 }
 
-// leadingDomain returns the domain whose reader follows the list in the store, of those
-// that have hosts: the same one for all that know of the same hosts. It is empty when there
-// is none.
+// leadingDomain chooses the leading domain from the domains that have hosts. All nodes with
+// the same rows choose the same one. It is empty when there are no rows.
 func leadingDomain(rows map[string]Member) string {
 	var leading string
 	var best uint64
@@ -70,8 +70,8 @@
 	return leading
 }
 
-// followsLeading reports whether this node, as the reader of its domain, should ask that of
-// the leading one.
+// followsLeading reports whether this node, as the reader of its domain, should fetch the
+// list from the leading domain.
 func (n *Node) followsLeading() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -79,23 +79,23 @@
 	return isOther && n.leading.mayFollow(n.Clock.Now())
 }
 
-// askLeading has a host of the leading domain tell what has changed in the list. It reports
-// whether that made the list as fresh as a reading of the store would.
-func (n *Node) askLeading(ctx context.Context, askedAt time.Duration) bool {
+// fetchFromLeading fetches the changes of the list from a host of the leading domain. It
+// reports whether the list is now as fresh as after a read of the store.
+func (n *Node) fetchFromLeading(ctx context.Context, askedAt time.Duration) bool {
 	if n.executors.Load() == nil {
 		return false
 	}
 	for _, address := range n.leadingReaders() {
-		if n.takeFrom(ctx, address, askedAt) {
+		if n.fetchListFrom(ctx, address, askedAt) {
 			return true
 		}
 	}
-	n.leading.againAt = askedAt + followPause
+	n.leading.retryAt = askedAt + followRetryDelay
 	return false
 }
 
-// leadingReaders returns the addresses of hosts of the leading domain to ask, the one that
-// reads there first.
+// leadingReaders returns the addresses of the hosts of the leading domain to query, its
+// reader first.
 func (n *Node) leadingReaders() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -109,15 +109,15 @@
 	n.linkToReaders(hosts)
 	var addresses []string
 	for _, host := range hosts {
-		if _, up := n.members.UpAt(host.PeerAddress); up && len(addresses) < leadingAsked {
+		if _, up := n.members.UpAt(host.PeerAddress); up && len(addresses) < leadingHostsAsked {
 			addresses = append(addresses, host.PeerAddress)
 		}
 	}
 	return addresses
 }
 
-// compareReaders orders hosts of another domain: those that said that they read come first,
-// then those that should. n.mu is held.
+// compareReaders orders hosts of another domain: first those that report to be the reader,
+// then by reader rank. n.mu is held.
 func (n *Node) compareReaders(a, b Member) int {
 	if n.readers[a.PeerAddress] != n.readers[b.PeerAddress] {
 		if n.readers[a.PeerAddress] {
@@ -135,11 +135,11 @@
 	return 0
 }
 
-// linkToReaders has links held to the first of some hosts of another domain, in the order
-// of readers. n.mu is held.
+// linkToReaders opens links to the first of some hosts of another domain, which are sorted
+// by compareReaders. n.mu is held.
 func (n *Node) linkToReaders(hosts []Member) {
 	var wanted []string
-	for _, host := range hosts[:min(leadingAsked, len(hosts))] {
+	for _, host := range hosts[:min(leadingHostsAsked, len(hosts))] {
 		wanted = append(wanted, host.PeerAddress)
 	}
 	if n.members.AddAddresses(wanted, n.Clock.Now()) {
@@ -147,16 +147,16 @@
 	}
 }
 
-// takeFrom asks a host for what has changed in the list, and takes it as a reading of the
-// store of when that one last asked.
-func (n *Node) takeFrom(ctx context.Context, address string, askedAt time.Duration) bool {
+// fetchListFrom fetches the changes of the list from a host and applies them like a read of
+// the store at the time of that host's last read.
+func (n *Node) fetchListFrom(ctx context.Context, address string, askedAt time.Duration) bool {
 	link := n.links.Link(address)
 	if link == nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
-	m, err := n.askForNews(ctx, link, newsExecutors)
+	m, err := n.fetchSnapshot(ctx, link, newsExecutors)
 	if err != nil {
 		n.Log.Info("leading_reader_unanswered", "peer", address, "error", err.Error())
 		return false
@@ -165,30 +165,30 @@
 		n.Log.Info("leading_reader_not_fresh", "peer", address, "age_ms", m.GetAgeMs())
 		return false
 	}
-	return n.takeList(fromPassed(m), askedAt-ageOf(m))
+	return n.applyList(fromPassed(m), askedAt-ageOf(m))
 }
 
-// isFreshList reports whether an answer tells the list as of a moment ago.
+// isFreshList reports whether a response holds a list that was read recently enough.
 func isFreshList(m *peerpb.Snapshot) bool {
-	return m.GetKind() == newsExecutors && m.GetRevision() > 0 && ageOf(m) <= leadingFresh
+	return m.GetKind() == newsExecutors && m.GetRevision() > 0 && ageOf(m) <= maxLeadingListAge
 }
 
-// ageOf returns how long ago the store was asked for a list that a peer has told.
+// ageOf returns how long ago the sender of a list requested it from the store.
 func ageOf(m *peerpb.Snapshot) time.Duration {
 	return time.Duration(m.GetAgeMs()) * time.Millisecond
 }
 
-// takeList takes what a host of the leading domain has told, and passes it on in the own
-// one. It reports whether nothing before it is missing.
-func (n *Node) takeList(passed *catalog.RelayedList, askedAt time.Duration) bool {
+// applyList applies changes from a host of the leading domain and relays them in this
+// domain. It reports whether they continue the list that is known here without a gap.
+func (n *Node) applyList(relayed *catalog.RelayedList, askedAt time.Duration) bool {
 	n.listing.Lock()
 	defer n.listing.Unlock()
 	askedAt = max(askedAt, n.executors.Load().askedAt)
-	whole := false
-	n.takeAsOf(askedAt, func() (accepted, news bool) {
-		news, missing := n.roster.ApplyRelayed(passed)
-		whole = !missing
-		return whole, news
+	complete := false
+	n.applyAsOf(askedAt, func() (accepted, changed bool) {
+		changed, missing := n.roster.ApplyRelayed(relayed)
+		complete = !missing
+		return complete, changed
 	})
-	return whole
+	return complete
 }
--- a/pkg/node/leading_test.go
+++ b/pkg/node/leading_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// rowsOf returns the rows of so many hosts in each of so many domains.
+// rowsOf returns the rows of a number of domains with a number of hosts each.
 func rowsOf(domains, hosts int) map[string]Member {
 	rows := map[string]Member{}
 	for d := range domains {
@@ -23,26 +23,25 @@
 	return rows
 }
 
-// What the store tells of executors grows with their number alone: one domain follows them,
-// however many there are.
-func TestOneDomainFollowsTheListForAll(t *testing.T) {
+// Guards against a load of the store that grows with the number of domains.
+func TestOneDomainReadsTheListForAll(t *testing.T) {
 	for _, domains := range []int{1, 3, 9, 27} {
 		c := qt.New(t)
 		rows := rowsOf(domains, 5)
-		following := 0
+		reading := 0
 		for d := range domains {
 			n := newTestNode(c, &fakeStore{})
 			n.settings.Domain = fmt.Sprintf("domain-%d", d)
 			n.rows, n.leadingDomain = rows, leadingDomain(rows)
 			if !n.followsLeading() {
-				following++
+				reading++
 			}
 		}
-		c.Assert(following, qt.Equals, 1, qt.Commentf("%d domains", domains))
+		c.Assert(reading, qt.Equals, 1, qt.Commentf("%d domains", domains))
 	}
 }
 
-func TestTheLeadingDomainIsOneThatHasHosts(t *testing.T) {
+func TestLeadingDomainHasHosts(t *testing.T) {
 	c := qt.New(t)
 	rows := rowsOf(4, 3)
 	first := leadingDomain(rows)
@@ -58,7 +57,7 @@
 	c.Assert(leadingDomain(nil), qt.Equals, "")
 }
 
-func TestWhichListsOfTheLeadingDomainAreFresh(t *testing.T) {
+func TestIsFreshList(t *testing.T) {
 	type scenario struct {
 		testName string
 		answer   *peerpb.Snapshot
@@ -66,10 +65,10 @@
 	}
 	scenarios := []scenario{
 		{testName: "read a moment ago", answer: &peerpb.Snapshot{Kind: newsExecutors, Revision: 5, AgeMs: 400}, want: true},
-		{testName: "read too long ago", answer: &peerpb.Snapshot{Kind: newsExecutors, Revision: 5, AgeMs: leadingFresh.Milliseconds() + 1}},
-		{testName: "none is known there", answer: &peerpb.Snapshot{Kind: newsExecutors}},
-		{testName: "other news", answer: &peerpb.Snapshot{Kind: newsConfiguration, Revision: 5}},
-		{testName: "no news", answer: nil},
+		{testName: "read too long ago", answer: &peerpb.Snapshot{Kind: newsExecutors, Revision: 5, AgeMs: maxLeadingListAge.Milliseconds() + 1}},
+		{testName: "the host has no list", answer: &peerpb.Snapshot{Kind: newsExecutors}},
+		{testName: "another kind of snapshot", answer: &peerpb.Snapshot{Kind: newsConfiguration, Revision: 5}},
+		{testName: "no snapshot", answer: nil},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -78,17 +77,17 @@
 	}
 }
 
-// A host that doesn't read the list has it by the word of its reader, which may have asked
-// the store some time before.
-func TestOnlyAReaderTellsAFreshList(t *testing.T) {
+// Guards against a host that reports a relayed list as fresh: its reader may have read it some
+// time ago.
+func TestOnlyReadersHaveAFreshList(t *testing.T) {
 	c := qt.New(t)
 	reader := newTestNode(c, &fakeStore{})
 	reader.roster.ApplyFull(&catalog.Executors{Revision: 10, ByID: map[string]catalog.Executor{"e": executorOf("e", "10.0.0.1:1")}}, 0)
 	reader.publish(true, reader.Clock.Now())
 	other := newTestNode(c, &fakeStore{})
 	other.roster.ApplyFull(&catalog.Executors{Revision: 8, ByID: map[string]catalog.Executor{}}, 0)
-	other.publish(true, other.Clock.Now()-leadingFresh-time.Second)
-	other.takePassed(reader.executorsSince(8), otherAddress)
+	other.publish(true, other.Clock.Now()-maxLeadingListAge-time.Second)
+	other.handleRelayed(reader.executorsSince(8), otherAddress)
 	other.passedAt.Store(int64(other.Clock.Now()))
 	c.Assert(isFreshList(reader.executorsSince(8)), qt.IsTrue)
 	c.Assert(isFreshList(other.executorsSince(8)), qt.IsFalse)
@@ -98,9 +97,9 @@
 	return catalog.Executor{ID: id, Service: "s", Domain: "z", Address: address, Capacity: job.Resources{CPU: 1}}
 }
 
-// A reader that follows another one knows the same list, as of the time at which that one
-// asked the store, and goes on from there by itself.
-func TestAListOfTheLeadingDomainCountsAsAReading(t *testing.T) {
+// Changes from the leading domain yield the same list, time and position as a read of the
+// store, so that the next read can continue from there.
+func TestListOfTheLeadingDomainCountsAsARead(t *testing.T) {
 	c := qt.New(t)
 	leader := newTestNode(c, &fakeStore{})
 	leader.roster.ApplyFull(&catalog.Executors{Revision: 10, ByID: map[string]catalog.Executor{"e": executorOf("e", "10.0.0.1:1")}}, 0)
@@ -112,9 +111,9 @@
 	n.publish(true, readAt-time.Second)
 	leader.roster.ApplyChanges(&catalog.ExecutorChanges{Revision: 20, Removed: []string{"e"}, Listed: []catalog.Executor{executorOf("f", "10.0.0.2:1")}})
 	leader.roster.ApplyChanges(&catalog.ExecutorChanges{Revision: 33}) // clocks only
-	told := leader.executorsSince(n.executorsRevision())
-	c.Assert(isFreshList(told), qt.IsTrue)
-	c.Assert(n.takeList(fromPassed(told), readAt), qt.IsTrue)
+	changes := leader.executorsSince(n.executorsRevision())
+	c.Assert(isFreshList(changes), qt.IsTrue)
+	c.Assert(n.applyList(fromPassed(changes), readAt), qt.IsTrue)
 
 	c.Assert(n.roster.Executors().ByID, qt.HasLen, 1)
 	c.Assert(n.roster.Executors().ByID["f"].ID, qt.Equals, "f")
--- a/pkg/node/listing.go
+++ b/pkg/node/listing.go
@@ -8,23 +8,24 @@
 	"github.com/foxcroft/foxcroft/pkg/ownership"
 )
 
-// listing is one reading of the executors, by cell.
+// listing is the list of executors as of one read, by cell.
 type listing struct {
-	revision uint64
-	askedAt  time.Duration  // the store was asked for it
-	checked  bool           // a configuration has told which services there are
-	steady   bool           // readings had gone well for so long that no entry can be missing by a lapse
-	sizes    map[string]int // executors of each domain
-	counts   map[string]int // cells of each domain
-	cells    map[string][]catalog.Executor
-	followed map[string]bool // cells whose owners this node keeps links to
+	revision        uint64
+	askedAt         time.Duration  // when it was requested from the store
+	servicesChecked bool           // only executors of configured services are in it
+	steady          bool           // reads have succeeded for longer than lapseTime, so that no entry is missing
+	sizes           map[string]int // number of executors by domain
+	counts          map[string]int // number of cells by domain
+	cells           map[string][]catalog.Executor
+	followed        map[string]bool // cells of other domains whose owners this node keeps links to
 }
 
-// followedPerDomain is how many cells of each other domain a node may hand jobs to.
+// followedPerDomain is the number of cells of each other domain to which a node may
+// dispatch jobs.
 const followedPerDomain = 2
 
-// follow chooses the cells whose owners a node keeps links to.
-func (l *listing) follow(self, domain string) {
+// chooseFollowed chooses the cells of other domains whose owners a node keeps links to.
+func (l *listing) chooseFollowed(self, domain string) {
 	names := make([]string, 0, len(l.cells))
 	for name := range l.cells {
 		names = append(names, name)
@@ -41,8 +42,8 @@
 	return sizes
 }
 
-// newListing sorts a reading into cells. counts is the number of cells that each
-// domain should have.
+// newListing groups executors by cell. counts is the number of cells that each domain
+// should have.
 func newListing(askedAt time.Duration, executors *catalog.Executors, sizes, counts map[string]int) *listing {
 	l := &listing{
 		revision: executors.Revision, askedAt: askedAt, sizes: sizes, counts: counts,
@@ -57,26 +58,26 @@
 		}
 		name := division.CellOf(executor.Address)
 		if l.cells[name] == nil {
-			l.cells[name] = make([]catalog.Executor, 0, roomFor(sizes[executor.Domain], division.Count()))
+			l.cells[name] = make([]catalog.Executor, 0, initialCellCapacity(sizes[executor.Domain], division.Count()))
 		}
 		l.cells[name] = append(l.cells[name], executor)
 	}
 	return l
 }
 
-// roomFor returns how many executors a cell is made to hold at first: a third more than
-// the mean, since their addresses are spread over the cells by chance.
-func roomFor(size, cells int) int { return size*4/(3*cells) + 1 }
+// initialCellCapacity returns the capacity to allocate for the executors of a cell. It
+// exceeds the mean by a third, since hashing spreads addresses unevenly.
+func initialCellCapacity(size, cells int) int { return size*4/(3*cells) + 1 }
 
-// confirmed returns the same listing as of a later question to the store.
-func (l *listing) confirmed(askedAt time.Duration) *listing {
+// withAskedAt returns the same listing as of a later request to the store.
+func (l *listing) withAskedAt(askedAt time.Duration) *listing {
 	next := *l
 	next.askedAt = askedAt
 	return &next
 }
 
-// completeFor reports whether the list names all executors that a former owner
-// of a cell, claimed at claimedAt, can have given work to.
+// completeFor reports whether the list holds all executors on which a former owner of a
+// cell, claimed at claimedAt, can have started runs.
 func (l *listing) completeFor(claimedAt time.Duration) bool {
 	return l.steady && l.askedAt >= claimedAt
 }
@@ -86,12 +87,11 @@
 	return ownership.CellOf(executor.Domain, executor.Address, max(l.counts[executor.Domain], 1))
 }
 
-// lists reports whether an executor is listed.
-func (l *listing) lists(executor *catalog.Executor) bool {
+func (l *listing) contains(executor *catalog.Executor) bool {
 	return slices.ContainsFunc(l.cells[l.cellOf(executor)], func(e catalog.Executor) bool { return e.ID == executor.ID })
 }
 
-// cellsOf returns the names of a domain's cells.
+// cellsOf returns the names of a domain's cells that have executors.
 func (l *listing) cellsOf(domain string) []string {
 	var names []string
 	for name := range l.cells {
--- a/pkg/node/listing_bench_test.go
+++ b/pkg/node/listing_bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/foxcroft/foxcroft/pkg/job"
 )
 
-// BenchmarkListing sorts the list of a fleet of 300 hosts into cells, as each of its
-// hosts does at each change of the list.
+// BenchmarkListing groups the executors of a large deployment by cell, as each host does at
+// each change of the list.
 func BenchmarkListing(b *testing.B) {
 	const fleet, domains, cells = 3500, 4, 25
 	executors := &catalog.Executors{Revision: 1, ByID: map[string]catalog.Executor{}}
--- a/pkg/node/members.go
+++ b/pkg/node/members.go
@@ -20,7 +20,7 @@
 
 func quietLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
-// refreshLinks opens and closes links as the table of members wants it.
+// refreshLinks opens and closes links according to the table of members.
 func (n *Node) refreshLinks() {
 	n.mu.Lock()
 	wanted := n.members.Wanted(n.Clock.Now())
@@ -28,7 +28,7 @@
 	n.links.Keep(wanted)
 }
 
-// setRows takes a new reading of the nodes' rows.
+// setRows replaces the hosts' rows by those of a new read.
 func (n *Node) setRows(rows []Member) {
 	listed := make([]member.Listed, 0, len(rows))
 	byName := map[string]Member{}
@@ -55,9 +55,9 @@
 	}
 }
 
-// concernsRows reports whether changes are about rows of ours. Other writers' rows, that
-// can't be read and never could, may come all the time.
-func (n *Node) concernsRows(changes MemberChanges) bool {
+// affectsRows reports whether changes affect the known rows or the own one. Unreadable rows
+// of foreign writers don't, and may change at any time.
+func (n *Node) affectsRows(changes MemberChanges) bool {
 	if len(changes.Listed)+len(changes.Removed) > 0 {
 		return true
 	}
@@ -65,11 +65,11 @@
 	defer n.mu.Unlock()
 	return slices.ContainsFunc(changes.Unreadable, func(row catalog.Unreadable) bool {
 		_, known := n.rows[row.Key]
-		return known || row.Key == n.settings.Name // which is to be written anew
+		return known || row.Key == n.settings.Name // which has to be rewritten
 	})
 }
 
-// rowsWith returns the rows that are known, after some changes.
+// rowsWith returns the known rows with changes applied, and leaves n.rows as it is.
 func (n *Node) rowsWith(changes MemberChanges) []Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -103,22 +103,22 @@
 	p := member.Peer{Name: hello.Name, Domain: hello.Domain, Address: address, Leaving: hello.Leaving, Weight: int(hello.Weight)}
 	copy(p.Incarnation[:], hello.Incarnation)
 	n.mu.Lock()
-	isBack := p.Domain == n.settings.Domain && !n.seesMate(address)
+	isReachableAgain := p.Domain == n.settings.Domain && !n.seesMate(address)
 	n.members.Up(p)
 	n.viewVersion.Add(1)
 	n.mu.Unlock()
 	n.changed.signal()
-	if isBack {
+	if isReachableAgain {
 		n.openNews.back(n.Clock.Now())
 	}
 	n.tellAgain(address, hello.Domain)
 }
 
-// LinkDown implements peer.Observer. The peer's jobs came by the link that it
-// opened itself, and stay while that one is up.
+// LinkDown implements peer.Observer. The peer's jobs stay: they belong to the link that the
+// peer itself opened.
 func (n *Node) LinkDown(address string) {
 	n.mu.Lock()
-	// In a large domain links to hosts that own nothing end all the time.
+	// In a large domain links to hosts that own nothing are closed all the time.
 	mayClaim := n.claims.Owns(address) || !n.members.IsLarge()
 	n.members.Down(address, n.Clock.Now())
 	n.viewVersion.Add(1)
@@ -137,15 +137,15 @@
 // LinkAccepted implements peer.Handler.
 func (n *Node) LinkAccepted(from *peerpb.Hello) {
 	n.mu.Lock()
-	news := n.members.LinkAccepted(from.Address, n.Clock.Now())
+	newAddresses := n.members.LinkAccepted(from.Address, n.Clock.Now())
 	n.mu.Unlock()
-	if news {
+	if newAddresses {
 		n.refreshLinks()
 	}
 }
 
-// LinkClosed implements peer.Handler: the jobs that came by the link are the
-// sender's again.
+// LinkClosed implements peer.Handler: the jobs that were dispatched on the link return to
+// their front.
 func (n *Node) LinkClosed(from *peerpb.Hello) {
 	n.arrivals.forget(from.Address)
 	n.joins.gone(from.Address)
@@ -159,9 +159,9 @@
 	n.arrivals.note(from.Address, n.Clock.Now())
 	switch body := m.Body.(type) {
 	case *peerpb.Message_Heartbeat:
-		answer := &peerpb.Message_Heartbeat{Heartbeat: n.heartbeatFor(from, body.Heartbeat)}
-		reply(n.withMoment(&peerpb.Message{Body: answer}), 0)
-		n.heard(from.Address, body.Heartbeat)
+		response := &peerpb.Message_Heartbeat{Heartbeat: n.heartbeatFor(from, body.Heartbeat)}
+		reply(n.withMoment(&peerpb.Message{Body: response}), 0)
+		n.handleHeartbeat(from.Address, body.Heartbeat)
 	case *peerpb.Message_Dispatch:
 		n.onDispatch(from, body.Dispatch, reply)
 	case *peerpb.Message_Withdraw:
@@ -183,15 +183,15 @@
 	case *peerpb.Message_HandOver:
 		n.onHandOver(body.HandOver)
 	case *peerpb.Message_Snapshot:
-		n.takePassed(body.Snapshot, from.Address)
+		n.handleRelayed(body.Snapshot, from.Address)
 	case *peerpb.Message_FetchSnapshot:
 		n.onFetchSnapshot(body.FetchSnapshot, reply)
 	default:
-		reply(peer.FailureMessage(errkind.New(errkind.BadRequest, "upgrade the older host", "the message is not known")), 0)
+		reply(peer.FailureMessage(errkind.New(errkind.BadRequest, "upgrade the older host", "unknown message type")), 0)
 	}
 }
 
-// onHandOver gives a cell to the node that has fenced its executors.
+// onHandOver releases a cell to the node that has fenced its executors.
 func (n *Node) onHandOver(m *peerpb.HandOver) {
 	if o := n.owner(m.Cell); o != nil && o.token < int64(m.Token) {
 		go n.release(o, "taken_over")
@@ -204,14 +204,14 @@
 	}
 }
 
-// claimHeld takes the news that the executors of a cell obey this node.
+// claimHeld records that the executors of a cell have accepted this node's token.
 func (n *Node) claimHeld(cellName string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.claims.ClaimAccepted(cellName)
 }
 
-// onFenced takes the news that executors obey another owner.
+// onFenced releases a cell whose executors have accepted another owner's token.
 func (n *Node) onFenced(o *owner) {
 	n.mu.Lock()
 	n.claims.Fenced(o.cell, n.ownershipView(), n.Clock.Now())
@@ -219,7 +219,7 @@
 	n.release(o, "fenced")
 }
 
-// onDispatch takes a job from another front.
+// onDispatch submits a job from another front to the owner of its cell.
 func (n *Node) onDispatch(from *peerpb.Hello, m *peerpb.Dispatch, reply peer.Reply) {
 	o := n.owner(m.Cell)
 	if o == nil {
@@ -241,10 +241,10 @@
 	})
 }
 
-// onRenew extends the leases of the jobs that came on a peer's connection.
+// onRenew extends the leases of the jobs that were dispatched on a peer's connection.
 func (n *Node) onRenew(from *peerpb.Hello, m *peerpb.Renew) {
-	at := n.timeOf(m.AsOf)
+	renewedAt := n.timeOf(m.AsOf)
 	for _, o := range n.allOwners() {
-		o.renew(from, at)
+		o.renew(from, renewedAt)
 	}
 }
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -257,7 +257,7 @@
 			n.refreshOwnClaims()
 			n.noticeCrowd()
 			n.noticeHub()
-			n.noticeReader()
+			n.updateReader()
 			n.dropSilentFronts(now)
 			nextClaim = now + n.claimPause()
 		}
--- a/pkg/node/pace.go
+++ b/pkg/node/pace.go
@@ -4,70 +4,71 @@
 	"github.com/foxcroft/foxcroft/pkg/ownership"
 )
 
-// quietSlowdown is how much more slowly links beat towards hosts that own no
-// cell, while all cells of the domain have owners: nothing waits for news of them.
-const quietSlowdown = 10
+// nonOwnerSlowdown multiplies the heartbeat interval towards hosts that own no cell, while
+// all cells of the domain have owners.
+const nonOwnerSlowdown = 10
 
-// farSlowdown is the same towards owners that have no job of this host, and whose
-// cells it wouldn't claim: those of other domains, while its own has room, and in a
-// large domain all, for a host that isn't a hub. Only their loads are wanted then.
-const farSlowdown = 4
+// distantOwnerSlowdown multiplies the heartbeat interval towards owners that have no job of
+// this host and whose cells it would not claim. These are the owners in other domains, while
+// its own domain has capacity, and for a host that isn't a hub also those in its own domain.
+// Their heartbeats only provide their loads.
+const distantOwnerSlowdown = 4
 
-// Slowdown implements peer.Pacer. Owners need not beat fast towards the fronts
-// whose jobs they have: they watch the fronts' own heartbeats.
+// Slowdown implements peer.Pacer. An owner needs no frequent heartbeats towards the fronts
+// whose jobs it has, since it monitors the fronts' own heartbeats.
 func (n *Node) Slowdown(address string) int {
 	dispatched := n.front.dispatchedTo(address)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
-	case n.ownerless && n.neighbour(address), dispatched:
+	case n.ownerless && n.maybeSameDomain(address), dispatched:
 		return 1
 	case n.claims.OwnsIn(address, n.settings.Domain):
 		if n.isHub.Load() {
 			return 1
 		}
-		return farSlowdown
+		return distantOwnerSlowdown
 	case !n.claims.Owns(address):
-		return quietSlowdown
-	case n.crowded && !n.onThinLink():
+		return nonOwnerSlowdown
+	case n.crowded && !n.onSlowLink():
 		return 1
 	}
-	return farSlowdown
+	return distantOwnerSlowdown
 }
 
-// neighbour reports whether a node is of the own domain, or may be: its link has
-// never been up. n.mu is held.
-func (n *Node) neighbour(address string) bool {
+// maybeSameDomain reports whether a node is of the own domain, or may be because the link to
+// it is not up. n.mu is held.
+func (n *Node) maybeSameDomain(address string) bool {
 	peer, up := n.members.UpAt(address)
 	return !up || peer.Domain == n.settings.Domain
 }
 
-// beatsFast reports whether the link to another node beats fast without a job
-// there: as its cells of this domain may be this node's next.
+// beatsFast reports whether heartbeats to another node are frequent even without a job
+// there, because this node may claim its cells.
 func (n *Node) beatsFast(address string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.isHub.Load() && n.claims.OwnsIn(address, n.settings.Domain)
 }
 
-// noticeCrowd notes whether jobs may have to go to other domains, whose owners
-// then beat fast so that their loads are fresh.
+// noticeCrowd updates whether this domain is short of capacity, so that jobs may have to go
+// to other domains. Heartbeats to owners there are then frequent, to keep their loads fresh.
 func (n *Node) noticeCrowd() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.crowded = ownership.IsShortOfCapacity(n.claims.Owned(), n.settings.Domain)
 }
 
-// noticeOwnerless has all links beat fast once a cell of this domain lacks an
-// owner, so that hosts that are gone too are soon known as such.
+// noticeOwnerless makes heartbeats on the domain's links frequent when a cell of this domain
+// has no owner, so that further unreachable hosts are detected soon.
 func (n *Node) noticeOwnerless(listing *listing) {
 	cells := listing.cellsOf(n.settings.Domain)
 	n.mu.Lock()
 	ownerless := !n.claims.AllOwned(cells)
-	news := ownerless && !n.ownerless
+	changed := ownerless && !n.ownerless
 	n.ownerless = ownerless
 	n.mu.Unlock()
-	if news {
+	if changed {
 		n.links.Nudge()
 	}
 }
--- a/pkg/node/pace_test.go
+++ b/pkg/node/pace_test.go
@@ -8,26 +8,26 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestPaceOfHeartbeats(t *testing.T) {
+func TestSlowdown(t *testing.T) {
 	const peer = "peer:1"
 	type scenario struct {
-		testName   string
-		ownClaims  bool
-		peerOwns   bool
-		peerIsFar  bool // it owns a cell of another domain
-		dispatched bool // a job is with it
-		crowded    bool
-		ownerless  bool
-		want       int
+		testName        string
+		ownClaims       bool
+		peerOwns        bool
+		peerIsFar       bool // the peer owns a cell of another domain
+		dispatched      bool // the peer has a job of this host
+		shortOfCapacity bool
+		ownerless       bool
+		want            int
 	}
 	scenarios := []scenario{
 		{testName: "towards an owner", peerOwns: true, want: 1},
-		{testName: "towards a host that owns nothing", want: quietSlowdown},
-		{testName: "from an owner to a front, which beats fast itself", ownClaims: true, want: quietSlowdown},
+		{testName: "towards a host that owns nothing", want: nonOwnerSlowdown},
+		{testName: "from an owner towards a host that owns nothing", ownClaims: true, want: nonOwnerSlowdown},
 		{testName: "a cell of the domain has no owner", ownerless: true, want: 1},
-		{testName: "towards an owner of another domain", peerIsFar: true, want: farSlowdown},
-		{testName: "one that has a job of ours", peerIsFar: true, dispatched: true, want: 1},
-		{testName: "one that may have to take jobs", peerIsFar: true, crowded: true, want: 1},
+		{testName: "towards an owner of another domain", peerIsFar: true, want: distantOwnerSlowdown},
+		{testName: "towards an owner of another domain that has a job of this host", peerIsFar: true, dispatched: true, want: 1},
+		{testName: "towards an owner of another domain while the own one is short of capacity", peerIsFar: true, shortOfCapacity: true, want: 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			if s.dispatched {
 				defer n.front.noteDispatch(peer)()
 			}
-			n.crowded = s.crowded
+			n.crowded = s.shortOfCapacity
 			n.noticeOwnerless(listed)
 			c.Assert(n.Slowdown(peer), qt.Equals, s.want)
 		})
--- a/pkg/node/passing.go
+++ b/pkg/node/relaying.go
@@ -7,11 +7,10 @@
 	"github.com/foxcroft/foxcroft/pkg/peerpb"
 )
 
-// The list of executors is long, and their clocks in it change all the time. So
-// one node of a domain reads it for the others, and passes on what matters.
+// The list of executors is long, and the clocks in it change all the time. One node of a
+// domain, the reader, reads it from the store and relays the other changes to its peers.
 
-// readsForDomain reports whether this node is the one that should read the list
-// for its domain.
+// readsForDomain reports whether this node should be the reader of its domain.
 func (n *Node) readsForDomain() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -31,15 +30,15 @@
 	return true
 }
 
-// readerRank orders the nodes of a domain as readers.
+// readerRank determines which node of a domain is its reader.
 type readerRank struct {
 	linkMbps float64
 	owns     bool
 	score    uint64
 }
 
-// before reports whether a node should read rather than another: one with the
-// fatter link, of equals one that owns no cell.
+// before reports whether a node takes precedence over another as the reader: the one with
+// the faster link, then one that owns no cell, then the one with the higher score.
 func (r readerRank) before(other readerRank) bool {
 	switch {
 	case r.linkMbps != other.linkMbps:
@@ -54,7 +53,7 @@
 func (n *Node) readerRank(name, address string) readerRank {
 	linkMbps := n.rows[name].Capacity.LinkMbps
 	if address == n.settings.PeerAddress {
-		linkMbps = n.settings.LinkMbps // its row may not be there yet
+		linkMbps = n.settings.LinkMbps // its row may not be written yet
 	}
 	return readerRank{
 		linkMbps: linkMbps,
@@ -63,24 +62,24 @@
 	}
 }
 
-// confirmInterval is how often a reader tells the other nodes of its domain that
-// nothing has changed.
+// confirmInterval is how often a reader confirms an unchanged list to the other nodes of
+// its domain.
 const confirmInterval = time.Second
 
-// passOn tells the other nodes of the domain what has changed since a revision,
-// or now and then that nothing has. n.listing is held.
-func (n *Node) passOn(since uint64) {
+// relayChanges sends the changes since a revision to the other nodes of the domain, or at
+// confirmInterval a message without changes. n.listing is held.
+func (n *Node) relayChanges(since uint64) {
 	now := n.Clock.Now()
 	changed := n.roster.Revision() != since
 	if !changed && now < n.toldAt+confirmInterval {
 		return
 	}
 	if n.inLargeDomain() && !n.readsForDomain() {
-		return // the others fetch what is news by the reader's heartbeats
+		return // the others fetch a revision that the reader's heartbeats announce
 	}
 	n.toldAt = now
 	if since == 0 {
-		since = n.roster.Revision() // a first reading is no news to others
+		since = n.roster.Revision() // a first read says nothing about changes
 	}
 	m := toPassed(n.roster.Since(since))
 	for _, address := range n.domainPeers() {
@@ -90,18 +89,18 @@
 	}
 }
 
-// firstListPatience is how long after its start a node of a large domain waits
-// for the list from those that read it first: it is long there, and all nodes
-// may have started at once.
-const firstListPatience = 1200 * time.Millisecond
+// firstListTimeout is how long after its start a node of a large domain waits for the
+// list from the nodes that read it first. The list is long there, and all nodes may have
+// started at the same time.
+const firstListTimeout = 1200 * time.Millisecond
 
-// firstReaders is how many nodes of a large domain read the list at once when
+// firstReaders is how many nodes of a large domain read the list without waiting when
 // they start.
 const firstReaders = 2
 
 // awaitsFirstList reports whether this node should wait for its first list.
 func (n *Node) awaitsFirstList() bool {
-	if n.executors.Load() != nil || n.Clock.Now() > firstListPatience {
+	if n.executors.Load() != nil || n.Clock.Now() > firstListTimeout {
 		return false
 	}
 	n.mu.Lock()
@@ -125,35 +124,34 @@
 	return n.members.IsLarge()
 }
 
-// noticeHub notes whether this node is a hub of its domain.
+// noticeHub updates whether this node is a hub of its domain.
 func (n *Node) noticeHub() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.isHub.Store(n.members.IsHub(n.settings.PeerAddress, n.settings.Domain, n.Clock.Now()))
 }
 
-// noticeReader notes whether this node should read the list for its domain. One
-// that should, and didn't at the last look or when it last decided what to do, does
-// so at once: the node before it may be gone, or has stopped as this one comes first.
-func (n *Node) noticeReader() {
+// updateReader updates whether this node is the reader of its domain. A node that has
+// become the reader reads at once: the previous reader may be unreachable, or has stopped
+// reading because this node takes precedence.
+func (n *Node) updateReader() {
 	reads := n.readsForDomain()
 	if before := n.readsList.Swap(reads); reads && !before {
 		n.askForList()
 	}
 }
 
-// readFresh is how old a reading may be for its reader's word to confirm the list
-// to others: a little more than that of the leading domain's reader and followInterval.
-const readFresh = leadingFresh + 2*followInterval
+// maxConfirmedAge is the age of a reader's list up to which its heartbeats confirm the list
+// to others. It exceeds the age of a list that was fetched from the leading domain.
+const maxConfirmedAge = maxLeadingListAge + 2*followInterval
 
-// readsNow reports whether this node reads the list for its domain, and has done so a
-// moment ago.
+// readsNow reports whether this node is the reader of its domain and its list is recent.
 func (n *Node) readsNow() bool {
 	current := n.executors.Load()
-	return current != nil && n.Clock.Now() < current.askedAt+readFresh && n.readsList.Load()
+	return current != nil && n.Clock.Now() < current.askedAt+maxConfirmedAge && n.readsList.Load()
 }
 
-// domainPeers returns the addresses of the other nodes of the domain in sight.
+// domainPeers returns the addresses of the reachable peers of the same domain.
 func (n *Node) domainPeers() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -171,15 +169,15 @@
 	return up && peer.Domain == n.settings.Domain
 }
 
-// takePassed takes changes of executors that a peer has passed on.
-func (n *Node) takePassed(m *peerpb.Snapshot, from string) {
+// handleRelayed applies changes of executors that a peer relayed.
+func (n *Node) handleRelayed(m *peerpb.Snapshot, from string) {
 	if m.Kind != newsExecutors || m.Revision == 0 {
 		return
 	}
-	passed := fromPassed(m)
+	relayed := fromPassed(m)
 	n.listing.Lock()
-	news, missing := n.roster.ApplyRelayed(passed)
-	if news {
+	changed, missing := n.roster.ApplyRelayed(relayed)
+	if changed {
 		askedAt := time.Duration(unknownAge)
 		if current := n.executors.Load(); current != nil {
 			askedAt = current.askedAt
@@ -187,7 +185,7 @@
 		n.publish(true, askedAt)
 	}
 	n.listing.Unlock()
-	if news {
+	if changed {
 		n.Log.Info("executors_passed_on", "from", from, "revision", m.Revision, "since", m.Since, "listed", len(m.Executors), "gone", len(m.Gone))
 	}
 	switch {
@@ -198,15 +196,15 @@
 	}
 }
 
-// executorsSince returns what a peer lacks that knows the list as of a revision.
+// executorsSince returns the changes for a peer that knows the list as of a revision.
 func (n *Node) executorsSince(revision uint64) *peerpb.Snapshot {
 	n.listing.Lock()
-	passed := n.roster.Since(revision)
+	relayed := n.roster.Since(revision)
 	n.listing.Unlock()
-	if passed == nil {
+	if relayed == nil {
 		return &peerpb.Snapshot{Kind: newsExecutors}
 	}
-	m := toPassed(passed)
+	m := toPassed(relayed)
 	if current := n.executors.Load(); current != nil {
 		m.AgeMs = (n.Clock.Now() - current.askedAt).Milliseconds()
 	}
--- a/pkg/node/passing_test.go
+++ b/pkg/node/relaying_test.go
@@ -18,7 +18,7 @@
 
 const otherAddress = "127.0.0.2:1"
 
-// nodeBeside makes a node that sees another one of a domain.
+// nodeBeside makes a node with a link to another node, which is of the given domain.
 func nodeBeside(c *qt.C, domain string, ownMbps, otherMbps float64) *Node {
 	n := newTestNode(c, &fakeStore{})
 	n.settings.LinkMbps = ownMbps
@@ -30,24 +30,24 @@
 	return n
 }
 
-func TestWhoReadsForADomain(t *testing.T) {
+func TestReadsForDomain(t *testing.T) {
 	type scenario struct {
 		testName  string
 		domain    string // of the other node
 		ownMbps   float64
 		otherMbps float64
-		ownsCell  bool // this node does
-		storeless bool // the other can't read the store
-		rowless   bool // this node's row isn't there
+		ownsCell  bool // this node owns a cell
+		storeless bool // the other node can't read the store
+		rowless   bool // this node's row is missing
 		want      bool
 	}
 	scenarios := []scenario{
-		{testName: "the fatter link", domain: "z", ownMbps: 200, otherMbps: 25, want: true},
-		{testName: "the thinner link", domain: "z", ownMbps: 25, otherMbps: 200},
-		{testName: "of equals one that owns nothing", domain: "z", ownMbps: 25, otherMbps: 25, ownsCell: true},
-		{testName: "the other can't read the store", domain: "z", ownMbps: 25, otherMbps: 200, storeless: true, want: true},
-		{testName: "the own row isn't there yet", domain: "z", ownMbps: 200, otherMbps: 25, rowless: true, want: true},
-		{testName: "the other is of another domain", domain: "y", ownMbps: 25, otherMbps: 200, want: true},
+		{testName: "this node has the faster link", domain: "z", ownMbps: 200, otherMbps: 25, want: true},
+		{testName: "this node has the slower link", domain: "z", ownMbps: 25, otherMbps: 200},
+		{testName: "with equal links the one that owns no cell reads", domain: "z", ownMbps: 25, otherMbps: 25, ownsCell: true},
+		{testName: "the other node can't read the store", domain: "z", ownMbps: 25, otherMbps: 200, storeless: true, want: true},
+		{testName: "this node's row is not written yet", domain: "z", ownMbps: 200, otherMbps: 25, rowless: true, want: true},
+		{testName: "the other node is of another domain", domain: "y", ownMbps: 25, otherMbps: 200, want: true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -65,21 +65,20 @@
 	}
 }
 
-// A node reads the list by itself only when it has to: each reading takes a thin
-// link for a sixth of a second.
-func TestWhenANodeReadsTheList(t *testing.T) {
+// Guards against nodes that read the list although the reader of their domain relays it.
+func TestNextListTaskReads(t *testing.T) {
 	type scenario struct {
-		testName  string
-		ownMbps   float64
-		passedAgo time.Duration // the last word of the reader
-		claimed   bool          // a cell, after the last reading
-		want      bool
+		testName     string
+		ownMbps      float64
+		confirmedAgo time.Duration // since the reader's last confirmation
+		claimed      bool          // a cell, after the last read
+		want         bool
 	}
 	scenarios := []scenario{
-		{testName: "another node reads", ownMbps: 2, passedAgo: time.Second},
-		{testName: "it reads for the domain", ownMbps: 200, passedAgo: time.Second, want: true},
-		{testName: "the reader has fallen silent", ownMbps: 2, passedAgo: passedLife + time.Second, want: true},
-		{testName: "it has claimed a cell", ownMbps: 2, passedAgo: time.Second, claimed: true, want: true},
+		{testName: "another node reads", ownMbps: 2, confirmedAgo: time.Second},
+		{testName: "it reads for the domain", ownMbps: 200, confirmedAgo: time.Second, want: true},
+		{testName: "the reader is unresponsive", ownMbps: 2, confirmedAgo: relayedListExpiry + time.Second, want: true},
+		{testName: "it has claimed a cell", ownMbps: 2, confirmedAgo: time.Second, claimed: true, want: true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -87,34 +86,34 @@
 			n := nodeBeside(c, "z", s.ownMbps, 25)
 			n.roster.ApplyFull(&catalog.Executors{Revision: 1}, 0)
 			n.publish(true, n.Clock.Now()-time.Hour)
-			n.passedAt.Store(int64(n.Clock.Now() - s.passedAgo))
+			n.passedAt.Store(int64(n.Clock.Now() - s.confirmedAgo))
 			if s.claimed {
 				n.owners["z"] = newOwner(n, "z", 1, n.Clock.Now())
 			}
-			c.Assert(n.listDuty().read, qt.Equals, s.want)
+			c.Assert(n.nextListTask().read, qt.Equals, s.want)
 		})
 	}
 }
 
-func TestPassedOnChangesAreTakenIn(t *testing.T) {
+func TestRelayedChangesAreApplied(t *testing.T) {
 	c := qt.New(t)
 	reader := nodeBeside(c, "z", 200, 2)
 	reader.roster.ApplyFull(&catalog.Executors{Revision: 10, ByID: map[string]catalog.Executor{"e": {ID: "e", Service: "s", Domain: "z", Address: "10.0.0.1:1", Capacity: job.Resources{CPU: 1}}}}, 0)
 	n := nodeBeside(c, "z", 2, 200)
-	n.takePassed(reader.executorsSince(0), otherAddress)
+	n.handleRelayed(reader.executorsSince(0), otherAddress)
 	c.Assert(n.executors.Load().cells["z"], qt.HasLen, 1)
-	c.Assert(n.readerLost(), qt.IsFalse)
+	c.Assert(n.listConfirmationExpired(), qt.IsFalse)
 
 	reader.roster.ApplyChanges(&catalog.ExecutorChanges{Revision: 20, Removed: []string{"e"}, Listed: []catalog.Executor{{ID: "f", Service: "s", Domain: "z", Address: "10.0.0.2:1", Capacity: job.Resources{CPU: 1}}}})
-	n.takePassed(reader.executorsSince(n.executorsRevision()), otherAddress)
+	n.handleRelayed(reader.executorsSince(n.executorsRevision()), otherAddress)
 	c.Assert(n.roster.Executors().ByID, qt.HasLen, 1)
 	c.Assert(n.roster.Executors().ByID["f"].ID, qt.Equals, "f")
 
-	n.takePassed(&peerpb.Snapshot{Kind: newsExecutors}, otherAddress)
-	c.Assert(n.executorsRevision(), qt.Equals, uint64(20), qt.Commentf("a peer that knows nothing tells nothing"))
+	n.handleRelayed(&peerpb.Snapshot{Kind: newsExecutors}, otherAddress)
+	c.Assert(n.executorsRevision(), qt.Equals, uint64(20), qt.Commentf("a peer without a list changes nothing"))
 }
 
-func TestANodeThatCanNotReadTheStoreSaysSo(t *testing.T) {
+func TestHeartbeatReportsFailingStore(t *testing.T) {
 	type scenario struct {
 		testName      string
 		executorsFail bool
@@ -123,8 +122,8 @@
 	}
 	scenarios := []scenario{
 		{testName: "both can be read"},
-		{testName: "the executors can't", executorsFail: true, want: true},
-		{testName: "the configuration can't", operatorFails: true, want: true},
+		{testName: "the executors can't be read", executorsFail: true, want: true},
+		{testName: "the configuration can't be read", operatorFails: true, want: true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -137,8 +136,8 @@
 	}
 }
 
-// largeDomain makes a node whose domain has so many hosts that not all hold links
-// to each other, each with a fatter link than the one before; its own is named.
+// largeDomain makes the node with index own of a domain with so many hosts that not all
+// have links to each other. The link of each host is faster than that of the previous one.
 func largeDomain(c *qt.C, own int) *Node {
 	const hosts = 60
 	n := newTestNode(c, &fakeStore{})
@@ -155,8 +154,8 @@
 	return n
 }
 
-// All nodes may have started at once, and the list of a large domain is long.
-func TestWhoReadsTheFirstListOfALargeDomain(t *testing.T) {
+// Guards against all nodes of a large domain reading the long list at a simultaneous start.
+func TestFirstReadersOfALargeDomain(t *testing.T) {
 	type scenario struct {
 		testName string
 		own      int
@@ -168,7 +167,7 @@
 		{testName: "the first in rank", own: 59},
 		{testName: "the second", own: 58},
 		{testName: "the third", own: 57, waits: true},
-		{testName: "one that waits for long", own: 3, age: firstListPatience + time.Millisecond},
+		{testName: "one whose wait has timed out", own: 3, age: firstListTimeout + time.Millisecond},
 		{testName: "one that has a list", own: 3, known: true},
 	}
 	for _, s := range scenarios {
@@ -180,14 +179,13 @@
 				n.executors.Store(newListing(0, &catalog.Executors{}, nil, nil))
 			}
 			c.Assert(n.awaitsFirstList(), qt.Equals, s.waits)
-			c.Assert(n.listDuty().idle, qt.Equals, s.waits)
+			c.Assert(n.nextListTask().idle, qt.Equals, s.waits)
 		})
 	}
 }
 
-// A node that isn't a hub neither reads for its domain nor comes before a hub as
-// an owner.
-func TestNodesThatAreNoHubs(t *testing.T) {
+// A node that isn't a hub is not the reader of its domain and has a low weight as an owner.
+func TestNonHubsNeitherReadNorTakePrecedence(t *testing.T) {
 	c := qt.New(t)
 	hub, other := largeDomain(c, 59), largeDomain(c, 0)
 	c.Assert(hub.readsForDomain(), qt.IsTrue)
@@ -196,24 +194,23 @@
 	c.Assert(other.ownershipView().Self.Weight, qt.Equals, sideWeight)
 }
 
-// The reader's heartbeats confirm the list to nodes that it doesn't pass it on to.
-func TestTheReadersHeartbeatConfirmsTheList(t *testing.T) {
+// Guards against nodes reading the store when the reader sends heartbeats but no changes.
+func TestReadersHeartbeatConfirmsTheList(t *testing.T) {
 	c := qt.New(t)
 	n := nodeBeside(c, "z", 25, 200)
 	n.Clock = &common.ManualClock{At: time.Minute}
-	n.heard(otherAddress, &peerpb.Heartbeat{})
-	c.Assert(n.readerLost(), qt.IsTrue)
-	n.heard(otherAddress, &peerpb.Heartbeat{ReadsList: true})
-	c.Assert(n.readerLost(), qt.IsFalse)
+	n.handleHeartbeat(otherAddress, &peerpb.Heartbeat{})
+	c.Assert(n.listConfirmationExpired(), qt.IsTrue)
+	n.handleHeartbeat(otherAddress, &peerpb.Heartbeat{ReadsList: true})
+	c.Assert(n.listConfirmationExpired(), qt.IsFalse)
 }
 
-// A node that comes first as the reader reads at once: the one before it has
-// stopped, and this one may have just looked whether it should, before it knew
-// the rows.
-func TestANodeThatBecomesTheReaderReadsAtOnce(t *testing.T) {
+// Guards against a pause of the reads when the reader of a domain changes, including a change
+// between the last nextListTask and the last updateReader.
+func TestNewReaderReadsAtOnce(t *testing.T) {
 	c := qt.New(t)
 	n := nodeBeside(c, "z", 25, 200)
-	asked := func() bool {
+	requested := func() bool {
 		select {
 		case <-n.claimed:
 			return true
@@ -221,34 +218,34 @@
 			return false
 		}
 	}
-	n.noticeReader()
-	c.Assert(asked(), qt.IsFalse, qt.Commentf("the other one reads"))
+	n.updateReader()
+	c.Assert(requested(), qt.IsFalse, qt.Commentf("the other node is the reader"))
 	n.LinkDown(otherAddress)
-	n.noticeReader()
-	c.Assert(asked(), qt.IsTrue)
-	n.noticeReader()
-	c.Assert(asked(), qt.IsFalse, qt.Commentf("it has read by now"))
+	n.updateReader()
+	c.Assert(requested(), qt.IsTrue)
+	n.updateReader()
+	c.Assert(requested(), qt.IsFalse, qt.Commentf("requested already"))
 
 	n.LinkUp(otherAddress, &peerpb.Hello{Name: "b", Domain: "z", Address: otherAddress, Incarnation: []byte{2}})
 	n.executors.Store(newListing(n.Clock.Now(), &catalog.Executors{}, nil, nil))
-	c.Assert(n.listDuty().read, qt.IsFalse)
+	c.Assert(n.nextListTask().read, qt.IsFalse)
 	n.LinkDown(otherAddress)
-	n.noticeReader()
-	c.Assert(asked(), qt.IsTrue, qt.Commentf("it was no reader only when it decided what to do"))
+	n.updateReader()
+	c.Assert(requested(), qt.IsTrue, qt.Commentf("nextListTask found that the other node is the reader"))
 }
 
-// Nodes that won't claim an owner's cells need not know of its end at once, unless
-// they have jobs there.
-func TestHowFastALinkToAnOwnerBeats(t *testing.T) {
+// Guards against frequent heartbeats to owners from nodes that would not claim their cells and
+// have no jobs there.
+func TestSlowdownTowardsOwnersOfALargeDomain(t *testing.T) {
 	type scenario struct {
 		testName string
-		own      int // rank of the node, the highest first
+		own      int // index of the node; the highest ranks first
 		job      bool
 		want     int
 	}
 	scenarios := []scenario{
 		{testName: "a hub", own: 59, want: 1},
-		{testName: "no hub", own: 0, want: farSlowdown},
+		{testName: "no hub", own: 0, want: distantOwnerSlowdown},
 		{testName: "no hub, with a job there", own: 0, job: true, want: 1},
 	}
 	for _, s := range scenarios {
@@ -266,8 +263,8 @@
 	}
 }
 
-// Thousands of executors write more changes than an answer of the store holds, so
-// that a reader that took one answer at a time fell behind for good.
+// Guards against a reader that falls behind because it reads one response per interval when
+// executors write more changes than a response holds.
 func TestChangesAreReadUntilThereAreNoMore(t *testing.T) {
 	c := qt.New(t)
 	store := &fakeStore{}
@@ -283,7 +280,7 @@
 	c.Assert(n.executors.Load().inDomain(""), qt.HasLen, 3)
 	c.Assert(n.executors.Load().askedAt, qt.Equals, 2*time.Second)
 
-	n.takePart(&catalog.ExecutorChanges{Revision: 4, Listed: listed("d"), More: true})
+	n.applyPartialChanges(&catalog.ExecutorChanges{Revision: 4, Listed: listed("d"), More: true})
 	c.Assert(n.executors.Load().inDomain(""), qt.HasLen, 4)
-	c.Assert(n.executors.Load().askedAt, qt.Equals, 2*time.Second, qt.Commentf("a part tells of no later time"))
+	c.Assert(n.executors.Load().askedAt, qt.Equals, 2*time.Second, qt.Commentf("partial changes don't confirm the list"))
 }
--- a/pkg/node/rows.go
+++ b/pkg/node/rows.go
@@ -8,15 +8,15 @@
 	"github.com/foxcroft/foxcroft/pkg/common"
 )
 
-// Limits of removing the rows of nodes that are gone for good. A node that was
-// only out of sight writes its row anew when it sees that it is missing.
+// Interval and expiry of the rows of nodes that don't return. A node that was only
+// unreachable rewrites its row when it finds it missing.
 const (
 	rowsInterval = 10 * time.Second
-	rowLife      = 60 * time.Second // out of sight
+	rowExpiry    = 60 * time.Second // since the node was last reachable
 )
 
-// runRows removes the rows of nodes of this domain that have been out of sight
-// for long. Else those of replaced machines would add up.
+// runRows removes the rows of nodes of this domain that have been unreachable for longer
+// than rowExpiry, so that rows of replaced machines don't accumulate.
 func (n *Node) runRows(ctx context.Context) {
 	for common.Sleep(ctx, common.Jitter(rowsInterval, common.Unit())) {
 		for _, name := range n.staleRows(n.Clock.Now()) {
@@ -31,7 +31,7 @@
 	defer n.mu.Unlock()
 	view := n.ownershipView()
 	if 2*(len(view.Up)+1) < view.Expected {
-		return nil // it may be this node that is out of sight
+		return nil // this node may be the unreachable one
 	}
 	up := map[string]bool{n.settings.PeerAddress: true}
 	for _, host := range view.Up {
@@ -43,7 +43,7 @@
 		if up[row.PeerAddress] || !known {
 			n.lastSeen[name] = now
 		}
-		if row.Domain == n.settings.Domain && now > n.lastSeen[name]+rowLife {
+		if row.Domain == n.settings.Domain && now > n.lastSeen[name]+rowExpiry {
 			stale = append(stale, name)
 		}
 	}
--- a/pkg/node/rows_changes_test.go
+++ b/pkg/node/rows_changes_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestChangesOfRows(t *testing.T) {
+func TestRowsWith(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
 	n.setRows([]Member{{Name: "a", Domain: "z", PeerAddress: "127.0.0.1:1"}, {Name: "b", Domain: "z"}})
@@ -16,5 +16,5 @@
 		byName[row.Name] = row
 	}
 	c.Assert(byName, qt.DeepEquals, map[string]Member{"b": {Name: "b", Domain: "y"}, "c": {Name: "c"}})
-	c.Assert(n.rows, qt.HasLen, 2, qt.Commentf("they are taken in by setRows alone"))
+	c.Assert(n.rows, qt.HasLen, 2, qt.Commentf("only setRows changes them"))
 }
--- a/pkg/node/rows_test.go
+++ b/pkg/node/rows_test.go
@@ -14,15 +14,15 @@
 		testName string
 		domain   string // of the row
 		up       bool
-		alone    bool // no other node is in sight
+		alone    bool // no other node is reachable
 		after    time.Duration
 		want     []string
 	}
 	scenarios := []scenario{
-		{testName: "in sight", domain: "z", up: true, after: time.Hour},
-		{testName: "out of sight for a while", domain: "z", after: rowLife},
-		{testName: "out of sight for long", domain: "z", after: rowLife + 1, want: []string{"gone"}},
-		{testName: "another domain's row is for its own nodes", domain: "y", after: time.Hour},
+		{testName: "reachable", domain: "z", up: true, after: time.Hour},
+		{testName: "unreachable until the expiry", domain: "z", after: rowExpiry},
+		{testName: "unreachable beyond the expiry", domain: "z", after: rowExpiry + 1, want: []string{"gone"}},
+		{testName: "rows of other domains are left to their nodes", domain: "y", after: time.Hour},
 		{testName: "an isolated node removes nothing", domain: "z", alone: true, after: time.Hour},
 	}
 	for _, s := range scenarios {
@@ -37,7 +37,7 @@
 			if s.up {
 				n.members.Up(member.Peer{Name: "gone", Domain: s.domain, Address: "127.0.0.9:1", Incarnation: once.Incarnation{3}})
 			}
-			c.Assert(n.staleRows(time.Minute), qt.HasLen, 0, qt.Commentf("the time starts with the first look"))
+			c.Assert(n.staleRows(time.Minute), qt.HasLen, 0, qt.Commentf("the time starts with the first call"))
 			c.Assert(n.staleRows(time.Minute+s.after), qt.DeepEquals, s.want)
 		})
 	}
--- a/pkg/node/news.go
+++ b/pkg/node/snapshots.go
@@ -11,37 +11,38 @@
 	"github.com/foxcroft/foxcroft/pkg/peerpb"
 )
 
-// The kinds of news that nodes pass on.
+// The kinds of snapshots that nodes relay.
 const (
 	newsConfiguration uint32 = iota + 1
 	newsExecutors
 )
 
-// Paces of reading the store, which all nodes share.
+// Timeouts and intervals of reading the store, which all nodes share.
 const (
 	storeTimeout = time.Second
-	// wholeTimeout bounds the reading of a whole table. A configuration of 1,500
-	// routes takes a link of 2 Mbit/s for 1.5 s.
-	wholeTimeout = 4 * time.Second
-	// leastMembersPause is the time between answers on rows, so that a series of changes
-	// comes as one, and membersAtOnce the number of hosts up to which it is enough: each
-	// change has all of them ask again.
-	leastMembersPause = 300 * time.Millisecond
-	membersAtOnce     = 40
+	// fullReadTimeout bounds the read of a full table, which takes a slow link several
+	// seconds.
+	fullReadTimeout = 4 * time.Second
+	// minMembersPause is the least time between two requests for changes of the hosts' rows,
+	// so that one response covers a series of changes. It applies up to hostsAtMinPause hosts
+	// and grows from there: after each change all hosts request the next one.
+	minMembersPause   = 300 * time.Millisecond
+	hostsAtMinPause   = 40
 	firstStoreBackoff = 100 * time.Millisecond
 	lastStoreBackoff  = 1500 * time.Millisecond
 	peerFetchTimeout  = time.Second
 )
 
-// inForce is a configuration in force.
+// inForce is the configuration in force.
 type inForce struct {
 	snapshot Snapshot
-	position uint64 // of the store's history
+	position uint64 // in the store's history
 	parsed   *catalog.Configuration
-	packed   func() ([]byte, error) // the body as it is passed on
+	packed   func() ([]byte, error) // the compressed body, for peers
 }
 
-// runNews reads the store until ctx ends.
+// runNews keeps the configuration, the rows of the hosts and the list of executors up to
+// date with the store until ctx ends.
 func (n *Node) runNews(ctx context.Context) {
 	go n.followOperator(ctx)
 	go n.followMembers(ctx)
@@ -50,9 +51,9 @@
 }
 
 func (n *Node) followOperator(ctx context.Context) {
-	n.follow(ctx, followed{
+	n.follow(ctx, followedTable{
 		name: "operator", read: n.readOperator, await: n.awaitOperator,
-		passedOn: n.configurationIsPassedOn, known: n.operatorPosition, fails: &n.operatorFails,
+		relayed: n.configurationIsRelayed, relayedPosition: n.operatorPosition, failing: &n.operatorFails,
 	})
 }
 
@@ -61,7 +62,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return changes.Position, n.takeOperator(changes, 0)
+	return changes.Position, n.applyOperator(changes, 0)
 }
 
 func (n *Node) awaitOperator(ctx context.Context, after uint64) (uint64, error) {
@@ -69,40 +70,39 @@
 	if err != nil {
 		return 0, err
 	}
-	return changes.Position, n.takeOperator(changes, after)
+	return changes.Position, n.applyOperator(changes, after)
 }
 
-// takeOperator takes what operators have changed since a position in the store's
-// history, or all that stands there for position 0.
-func (n *Node) takeOperator(changes OperatorChanges, since uint64) error {
-	n.noteUnreadable(tableOfOperator, changes.Unreadable)
+// applyOperator applies the operators' changes since a position in the store's history, or
+// the full table for position 0.
+func (n *Node) applyOperator(changes OperatorChanges, since uint64) error {
+	n.recordUnreadable(tableOfOperator, changes.Unreadable)
 	closures := catalog.ClosureChanges{Since: since, Position: changes.Position, Closed: changes.Closed, Opened: changes.Opened}
 	if err := n.changeClosures(closures, "store"); err != nil {
 		return err
 	}
-	n.offerConfiguration(Snapshot{Revision: changes.Position, Body: changes.Body}, "store")
+	n.applyConfiguration(Snapshot{Revision: changes.Position, Body: changes.Body}, "store")
 	return nil
 }
 
-// thinLink is the rate below which a large configuration, of some 350 kB, takes
-// a link for so long that the nodes of a domain don't all read it from the store.
-const thinLink = 10e6 / 8 // bytes a second
+// slowLinkRate is the rate below which a large configuration occupies a link for so long
+// that a node gets it compressed from a peer instead of from the store.
+const slowLinkRate = 10e6 / 8 // bytes per second
 
-// configurationIsPassedOn reports whether this node gets configurations from the
-// node that reads for its domain: by a link that is thin, packed to a tenth.
-func (n *Node) configurationIsPassedOn() bool {
-	return n.onThinLink() && !n.readsForDomain() && !n.readerLost()
+// configurationIsRelayed reports whether this node gets configurations, compressed, from the
+// reader of its domain, since its own link is slow.
+func (n *Node) configurationIsRelayed() bool {
+	return n.onSlowLink() && !n.readsForDomain() && !n.listConfirmationExpired()
 }
 
-// onThinLink reports whether this node's link is thin.
-func (n *Node) onThinLink() bool {
+func (n *Node) onSlowLink() bool {
 	rate := n.settings.LinkRate()
-	return rate > 0 && rate < thinLink
+	return rate > 0 && rate < slowLinkRate
 }
 
-// operatorPosition returns the position in the store's history up to which this
-// node knows both the configuration and the closed domains, which peers pass on
-// separately; 0 before it knows either.
+// operatorPosition returns the position in the store's history up to which this node knows
+// both the configuration and the closed domains, which peers relay separately; 0 until it
+// knows both.
 func (n *Node) operatorPosition() uint64 {
 	configuration, closures := n.configuration.Load(), n.closures.Load()
 	if configuration == nil || closures == nil {
@@ -111,8 +111,8 @@
 	return min(configuration.position, closures.Position)
 }
 
-// offerConfiguration takes a configuration into force if it is newer.
-func (n *Node) offerConfiguration(snapshot Snapshot, from string) {
+// applyConfiguration puts a configuration into force if it is newer.
+func (n *Node) applyConfiguration(snapshot Snapshot, from string) {
 	if len(snapshot.Body) == 0 {
 		return
 	}
@@ -143,8 +143,8 @@
 	n.links.Nudge()
 }
 
-// followMembers reads the rows once before it writes the own one: they tell
-// whether this node is back or new.
+// followMembers reads the hosts' rows before it writes this node's own row: the row that it
+// finds shows whether the node has restarted or is new.
 func (n *Node) followMembers(ctx context.Context) {
 	if _, err := n.readMembers(ctx); err != nil {
 		n.Log.Warn("rows_not_read", "error", err.Error())
@@ -152,16 +152,16 @@
 	for ctx.Err() == nil && !n.announce(ctx) {
 		common.Sleep(ctx, common.Jitter(lastStoreBackoff, common.Unit()))
 	}
-	n.follow(ctx, followed{name: "members", read: n.readMembers, await: n.awaitMembers, pause: n.membersPause})
+	n.follow(ctx, followedTable{name: "members", read: n.readMembers, await: n.awaitMembers, pause: n.membersPause})
 }
 
-// rowsPatience is how long after its start a node waits for the rows before it
-// reads the list of executors: they tell whether it should.
-const rowsPatience = 200 * time.Millisecond
+// rowsTimeout is how long after its start a node waits for the hosts' rows before it reads
+// the list of executors. The rows determine which node is the reader.
+const rowsTimeout = 200 * time.Millisecond
 
-// awaitRows waits for the first reading of the rows.
+// awaitRows waits for the first read of the hosts' rows.
 func (n *Node) awaitRows(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, rowsPatience)
+	ctx, cancel := context.WithTimeout(ctx, rowsTimeout)
 	defer cancel()
 	for {
 		changed := n.changed.wait()
@@ -179,7 +179,7 @@
 	}
 }
 
-// announce writes this node's row and reports whether that went well.
+// announce writes this node's row and reports whether it succeeded.
 func (n *Node) announce(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -190,8 +190,8 @@
 	return err == nil
 }
 
-// membersPause returns how long to wait between answers on rows. It grows with the hosts, so
-// that all of them together ask no more often where there are more.
+// membersPause returns how long to wait between two requests for changes of the hosts' rows.
+// It grows with the number of hosts, so that their total request rate is bounded.
 func (n *Node) membersPause() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -199,7 +199,7 @@
 }
 
 func membersPauseFor(hosts int) time.Duration {
-	return leastMembersPause * time.Duration(max(hosts, membersAtOnce)) / membersAtOnce
+	return minMembersPause * time.Duration(max(hosts, hostsAtMinPause)) / hostsAtMinPause
 }
 
 func (n *Node) readMembers(ctx context.Context) (uint64, error) {
@@ -207,7 +207,7 @@
 	if err != nil {
 		return 0, err
 	}
-	n.noteUnreadable(tableOfMembers, rows.Unreadable)
+	n.recordUnreadable(tableOfMembers, rows.Unreadable)
 	n.setRows(rows.Listed)
 	return rows.Position, nil
 }
@@ -217,31 +217,31 @@
 	if err != nil {
 		return 0, err
 	}
-	n.noteUnreadable(tableOfMembers, changes.Unreadable)
-	if n.concernsRows(changes) {
+	n.recordUnreadable(tableOfMembers, changes.Unreadable)
+	if n.affectsRows(changes) {
 		n.setRows(n.rowsWith(changes))
 	}
 	return changes.Position, nil
 }
 
-// compareNews fetches what a peer has newer.
-func (n *Node) compareNews(address string, beat *peerpb.Heartbeat) {
-	if current := n.configuration.Load(); current == nil || beat.Version > current.snapshot.Revision {
-		if beat.Version > 0 {
+// fetchNewer fetches from a peer what is newer there according to its heartbeat.
+func (n *Node) fetchNewer(address string, heartbeat *peerpb.Heartbeat) {
+	if current := n.configuration.Load(); current == nil || heartbeat.Version > current.snapshot.Revision {
+		if heartbeat.Version > 0 {
 			n.startFetch(address, newsConfiguration)
 		}
 	}
 	current := n.executors.Load()
-	stale := current == nil && beat.ExecutorsRevision > 0
-	newer := current != nil && beat.ExecutorsRevision > current.revision
-	// Readers of other domains number the same changes otherwise.
+	stale := current == nil && heartbeat.ExecutorsRevision > 0
+	newer := current != nil && heartbeat.ExecutorsRevision > current.revision
+	// Revisions of other domains' readers are not comparable with those of this domain.
 	if stale || newer && (n.storeFails.Load() || n.inOwnDomain(address)) {
 		n.startFetch(address, newsExecutors)
 	}
 }
 
-// startFetch asks a peer for its newest news of a kind, unless enough others
-// are being asked: every peer's heartbeat may tell of it at the same time.
+// startFetch starts to fetch a peer's snapshot of a kind, unless enough fetches of that kind
+// are running: the heartbeats of all peers may announce it at the same time.
 func (n *Node) startFetch(address string, kind uint32) {
 	if !n.fetches.begin(kind) {
 		return
@@ -252,7 +252,7 @@
 	}()
 }
 
-// fetch asks a peer for its newest news of a kind.
+// fetch fetches a peer's snapshot of a kind and applies it.
 func (n *Node) fetch(address string, kind uint32) {
 	link := n.links.Link(address)
 	if link == nil {
@@ -260,35 +260,36 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), peerFetchTimeout)
 	defer cancel()
-	m, err := n.askForNews(ctx, link, kind)
+	m, err := n.fetchSnapshot(ctx, link, kind)
 	if err != nil || m == nil {
 		return
 	}
 	if kind == newsConfiguration {
-		n.offerPacked(m, address)
+		n.applyPackedConfiguration(m, address)
 		return
 	}
-	n.takePassed(m, address)
+	n.handleRelayed(m, address)
 }
 
-// askForNews returns the news of a kind that a peer has; nil when it answers otherwise.
-func (n *Node) askForNews(ctx context.Context, link *peer.Link, kind uint32) (*peerpb.Snapshot, error) {
+// fetchSnapshot fetches a peer's snapshot of a kind. It returns nil if the response is of
+// another type.
+func (n *Node) fetchSnapshot(ctx context.Context, link *peer.Link, kind uint32) (*peerpb.Snapshot, error) {
 	fetch := &peerpb.FetchSnapshot{Kind: kind}
 	if kind == newsExecutors {
 		fetch.Since = n.executorsRevision()
 	}
-	answer, err := link.Call(ctx, &peerpb.Message{Body: &peerpb.Message_FetchSnapshot{FetchSnapshot: fetch}}, 0)
-	return answer.GetSnapshot(), err
+	response, err := link.Call(ctx, &peerpb.Message{Body: &peerpb.Message_FetchSnapshot{FetchSnapshot: fetch}}, 0)
+	return response.GetSnapshot(), err
 }
 
-// offerPacked takes a configuration that a peer has passed on.
-func (n *Node) offerPacked(m *peerpb.Snapshot, from string) {
+// applyPackedConfiguration applies a compressed configuration that a peer sent.
+func (n *Node) applyPackedConfiguration(m *peerpb.Snapshot, from string) {
 	body, err := unpack(m.Body)
 	if err != nil {
 		n.Log.Error("configuration_unreadable", "from", from, "error", err.Error())
 		return
 	}
-	n.offerConfiguration(Snapshot{Revision: m.Position, Body: body}, from)
+	n.applyConfiguration(Snapshot{Revision: m.Position, Body: body}, from)
 }
 
 func (n *Node) onFetchSnapshot(m *peerpb.FetchSnapshot, reply peer.Reply) {
@@ -296,13 +297,13 @@
 		reply(&peerpb.Message{Body: &peerpb.Message_Snapshot{Snapshot: n.executorsSince(m.Since)}}, 0)
 		return
 	}
-	news := &peerpb.Snapshot{Kind: m.Kind}
+	snapshot := &peerpb.Snapshot{Kind: m.Kind}
 	if current := n.configuration.Load(); m.Kind == newsConfiguration && current != nil {
 		body, err := current.packed()
 		if err != nil {
 			n.Log.Error("configuration_not_packed", "version", current.snapshot.Revision, "error", err.Error())
 		}
-		news.Revision, news.Position, news.Body = current.snapshot.Revision, current.position, body
+		snapshot.Revision, snapshot.Position, snapshot.Body = current.snapshot.Revision, current.position, body
 	}
-	reply(&peerpb.Message{Body: &peerpb.Message_Snapshot{Snapshot: news}}, 0)
+	reply(&peerpb.Message{Body: &peerpb.Message_Snapshot{Snapshot: snapshot}}, 0)
 }
--- a/pkg/node/news_test.go
+++ b/pkg/node/snapshots_test.go
@@ -17,14 +17,14 @@
 	"github.com/pkg/errors"
 )
 
-// fakeStore is a store whose waits are swallowed while it is silent, and which
-// fails then.
+// fakeStore is a store whose reads fail while it is silent, and whose waits that begin then
+// are never answered.
 type fakeStore struct {
 	Store
 	version atomic.Uint64
 	silent  atomic.Bool
-	floor   atomic.Uint64              // history before it is gone
-	answers []*catalog.ExecutorChanges // on changes of executors, used up one by one; then nothing has changed
+	floor   atomic.Uint64              // the history before it is removed
+	answers []*catalog.ExecutorChanges // to ExecutorChanges, each returned once; then no changes
 }
 
 func (f *fakeStore) Operator(context.Context) (OperatorChanges, error) {
@@ -38,11 +38,11 @@
 func (f *fakeStore) AwaitOperator(ctx context.Context, after uint64) (OperatorChanges, error) {
 	for {
 		if f.silent.Load() {
-			<-ctx.Done() // swallowed for good
+			<-ctx.Done() // never answered
 			return OperatorChanges{}, ctx.Err()
 		}
 		if after < f.floor.Load() {
-			return OperatorChanges{}, errkind.New(errkind.NotFound, "read it anew", "the history is gone")
+			return OperatorChanges{}, errkind.New(errkind.NotFound, "read the table in full", "the history has been removed")
 		}
 		if version := f.version.Load(); version != after {
 			return OperatorChanges{Position: version, Body: []byte{byte(version)}}, nil
@@ -79,7 +79,7 @@
 	return &catalog.ExecutorChanges{Revision: f.version.Load()}, nil
 }
 
-// emptyTables hold no row.
+// emptyTables is a store of tables without rows.
 type emptyTables struct{ tables.Store }
 
 func (emptyTables) ReadRow(context.Context, string, string, string) (tables.Row, bool, error) {
@@ -116,47 +116,49 @@
 	return 0
 }
 
-// eventually waits until condition holds.
+// eventually waits until condition holds, and fails the test after a time limit.
 func eventually(c *qt.C, condition func() bool) {
 	c.Helper()
 	end := time.Now().Add(20 * time.Second)
 	for !condition() {
 		if time.Now().After(end) {
-			c.Fatal("it doesn't come about")
+			c.Fatal("condition not met within 20 s")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func TestAConfigurationIsReadAfterTheStoreSwallowedAWait(t *testing.T) {
+// Guards against a follower that waits forever for a response that an unresponsive store lost.
+func TestConfigurationIsReadAfterALostWait(t *testing.T) {
 	c := qt.New(t)
 	store := &fakeStore{}
 	store.version.Store(1)
 	n := newTestNode(c, store)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go n.follow(ctx, followed{name: "configuration", read: n.readOperator, await: n.awaitOperator})
+	go n.follow(ctx, followedTable{name: "configuration", read: n.readOperator, await: n.awaitOperator})
 	go n.pollExecutors(ctx)
 	eventually(c, func() bool { return versionOf(n) == 1 })
 
 	store.silent.Store(true)
 	store.version.Store(2)
-	n.claimed <- struct{}{} // a look at the executors, which fails
+	n.claimed <- struct{}{} // have the executors read, which fails
 	time.Sleep(20 * time.Millisecond)
 	store.silent.Store(false)
 	eventually(c, func() bool { return versionOf(n) == 2 })
 }
 
-func TestAnOlderConfigurationIsNotTaken(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
-	n.offerConfiguration(Snapshot{Body: []byte{5}}, "store")
-	n.offerConfiguration(Snapshot{Body: []byte{4}}, "peer")
+	n.applyConfiguration(Snapshot{Body: []byte{5}}, "store")
+	n.applyConfiguration(Snapshot{Body: []byte{4}}, "peer")
 	c.Assert(n.Configuration().Version, qt.Equals, uint64(5))
 }
 
-// A position that a peer has told of is of no use either once the history is gone.
-func TestAConfigurationIsReadWholeAfterTheHistoryIsGone(t *testing.T) {
+// Guards against reading on from a position, also a relayed one, whose history has been
+// removed.
+func TestConfigurationIsReadInFullAfterHistoryLoss(t *testing.T) {
 	c := qt.New(t)
 	store := &fakeStore{}
 	store.version.Store(1)
@@ -170,13 +172,12 @@
 	eventually(c, func() bool { return versionOf(n) == 2 })
 }
 
-// While hosts come and go in a series, the calls of all hosts for their rows stay the same,
-// however many there are.
-func TestCallsForRowsDoNotGrowWithTheHosts(t *testing.T) {
-	most := float64(membersAtOnce) / leastMembersPause.Seconds()
+// Guards against a load of the store that grows with the hosts while their rows keep changing.
+func TestRequestsForRowsDoNotGrowWithTheHosts(t *testing.T) {
+	most := float64(hostsAtMinPause) / minMembersPause.Seconds()
 	for _, hosts := range []int{1, 40, 236, 1000, 3000} {
 		calls := float64(hosts) / membersPauseFor(hosts).Seconds()
-		qt.Assert(t, calls <= 1.001*most, qt.IsTrue, qt.Commentf("%d hosts: %.0f calls a second", hosts, calls))
+		qt.Assert(t, calls <= 1.001*most, qt.IsTrue, qt.Commentf("%d hosts: %.0f requests per second", hosts, calls))
 	}
-	qt.Assert(t, membersPauseFor(3), qt.Equals, leastMembersPause)
+	qt.Assert(t, membersPauseFor(3), qt.Equals, minMembersPause)
 }
--- a/pkg/node/traffic.go
+++ b/pkg/node/traffic.go
@@ -9,10 +9,10 @@
 	"github.com/foxcroft/foxcroft/pkg/traffic"
 )
 
-// trafficInterval is how often a node logs what its link carries.
+// trafficInterval is how often a node logs its network traffic.
 const trafficInterval = 10 * time.Second
 
-// runTraffic logs the bytes a second by purpose.
+// runTraffic logs the bytes per second by purpose.
 func (n *Node) runTraffic(ctx context.Context) {
 	before := n.trafficSnapshot()
 	for common.Sleep(ctx, trafficInterval) {
@@ -22,7 +22,7 @@
 	}
 }
 
-// trafficSnapshot is the bytes counted so far, by purpose.
+// trafficSnapshot holds the counters of traffic at one time.
 type trafficSnapshot struct {
 	at  time.Duration
 	in  []uint64 // by purpose
@@ -32,7 +32,7 @@
 	bytes  []uint64
 }
 
-// peerClasses are the classes of messages between nodes that are logged apart.
+// peerClasses are the classes of messages between nodes that are logged separately.
 var peerClasses = []peer.Class{peer.ClassForward, peer.ClassSnapshot, peer.ClassControl}
 
 func (n *Node) trafficSnapshot() trafficSnapshot {
--- a/pkg/node/unreadable.go
+++ b/pkg/node/unreadable.go
@@ -5,50 +5,49 @@
 	"github.com/foxcroft/foxcroft/pkg/cell"
 )
 
-// The tables whose rows may be unreadable, in logs and metrics.
+// Names, in logs and metrics, of the tables whose rows may be unreadable.
 const (
 	tableOfExecutors = "executors"
 	tableOfMembers   = "members"
 	tableOfOperator  = "operator"
-	tableOfAnswers   = "answers" // of executors, which are no table of the store
+	tableOfAnswers   = "answers" // hold responses of executors, which are not a table of the store
 )
 
-// noteUnreadable counts and logs rows that count as if they weren't there.
-func (n *Node) noteUnreadable(table string, rows []catalog.Unreadable) {
-	news := n.rowLog.Take(table, rows, n.Clock.Now())
-	for _, row := range news.Counted {
+// recordUnreadable counts and logs unreadable rows.
+func (n *Node) recordUnreadable(table string, rows []catalog.Unreadable) {
+	report := n.rowLog.Take(table, rows, n.Clock.Now())
+	for _, row := range report.Counted {
 		n.metrics.RowsUnreadable(table, string(row.Reason), 1)
 	}
-	for _, row := range news.Logged {
+	for _, row := range report.Logged {
 		n.Log.Warn("row_unreadable", "table", table, "key", row.Key, "reason", row.Reason)
 	}
-	if news.Left > 0 {
-		n.Log.Warn("rows_unreadable_left_out", "table", table, "rows", news.Left)
+	if report.Left > 0 {
+		n.Log.Warn("rows_unreadable_left_out", "table", table, "rows", report.Left)
 	}
 }
 
-// called returns the executors to call among those that are listed: those of services
-// that the configuration names. One whose service it doesn't name any more is
-// withheld, since runs may go on there. Before there is a configuration they can't be
-// checked, and all are called.
-func (n *Node) called(listed *catalog.Executors) (called *catalog.Executors, checked bool) {
+// callableExecutors returns the listed executors of configured services. An executor whose
+// service has been removed from the configuration is withheld, since its runs may
+// continue. Without a configuration all executors are returned, and checked is false.
+func (n *Node) callableExecutors(listed *catalog.Executors) (callable *catalog.Executors, checked bool) {
 	configuration := n.Configuration()
 	if configuration == nil {
 		return listed, false
 	}
-	called, others := configuration.Called(listed, n.wasCalled)
-	n.noteUnreadable(tableOfExecutors, others)
-	return called, true
+	callable, unconfigured := configuration.Called(listed, n.wasCallable)
+	n.recordUnreadable(tableOfExecutors, unconfigured)
+	return callable, true
 }
 
-// wasCalled reports whether an executor was called until now. One that was listed
-// before a configuration told of the services doesn't count.
-func (n *Node) wasCalled(executor *catalog.Executor) bool {
+// wasCallable reports whether an executor is in the current list, provided that the list
+// was checked against a configuration.
+func (n *Node) wasCallable(executor *catalog.Executor) bool {
 	current := n.executors.Load()
-	return current != nil && current.checked && current.lists(executor)
+	return current != nil && current.servicesChecked && current.contains(executor)
 }
 
-// servicesChanged has the list of executors looked through anew.
+// servicesChanged checks the list of executors against the changed configuration.
 func (n *Node) servicesChanged() {
 	n.listing.Lock()
 	defer n.listing.Unlock()
@@ -57,13 +56,13 @@
 	}
 }
 
-// noteAnswer counts the entries of an executor's answer that can't be read. The cell
-// logs when an executor begins to hide runs.
-func (n *Node) noteAnswer(answer cell.HoldResponse) {
-	if answer.UnreadableRuns > 0 {
-		n.metrics.RowsUnreadable(tableOfAnswers, string(catalog.HiddenRun), answer.UnreadableRuns)
+// noteAnswer counts the unreadable entries of a hold response. The cell logs when an
+// executor begins to report unreadable runs.
+func (n *Node) noteAnswer(response cell.HoldResponse) {
+	if response.UnreadableRuns > 0 {
+		n.metrics.RowsUnreadable(tableOfAnswers, string(catalog.HiddenRun), response.UnreadableRuns)
 	}
-	if answer.UnreadableEnds > 0 {
-		n.metrics.RowsUnreadable(tableOfAnswers, string(catalog.HiddenEnd), answer.UnreadableEnds)
+	if response.UnreadableEnds > 0 {
+		n.metrics.RowsUnreadable(tableOfAnswers, string(catalog.HiddenEnd), response.UnreadableEnds)
 	}
 }
--- a/pkg/node/unreadable_test.go
+++ b/pkg/node/unreadable_test.go
@@ -12,19 +12,19 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// serviceAdapter reads a configuration that names one service by its first letter
-// after the version; one of a single byte can't be read.
+// serviceAdapter decodes a configuration of two bytes: its version and the name of its only
+// service. Others are unreadable.
 type serviceAdapter struct{ fakeAdapter }
 
 func (f *serviceAdapter) DecodeConfiguration(snapshot Snapshot) (*catalog.Configuration, error) {
 	if len(snapshot.Body) != 2 {
-		return nil, errors.New("broken off")
+		return nil, errors.New("configuration is not two bytes long")
 	}
 	services := []catalog.Service{{Name: string(snapshot.Body[1:])}}
 	return catalog.NewConfiguration(uint64(snapshot.Body[0]), nil, services, catalog.Limits{}), nil
 }
 
-func nodeOfServices(c *qt.C) *Node {
+func newServiceTestNode(c *qt.C) *Node {
 	n := newTestNode(c, &fakeStore{})
 	n.adapter = &serviceAdapter{}
 	return n
@@ -37,10 +37,10 @@
 }
 
 func (n *Node) configureServices(version byte, service string) {
-	n.offerConfiguration(Snapshot{Body: append([]byte{version}, service...)}, "store")
+	n.applyConfiguration(Snapshot{Body: append([]byte{version}, service...)}, "store")
 }
 
-// capacities returns the room of the executors that are called, by id.
+// capacities returns the CPU capacity of the executors in the list, by id.
 func capacities(n *Node) map[string]int64 {
 	byID := map[string]int64{}
 	for _, executor := range n.executors.Load().inDomain("z") {
@@ -49,18 +49,18 @@
 	return byID
 }
 
-func take(n *Node, changes *catalog.ExecutorChanges) {
-	n.takeReading(time.Second, func() (accepted, news bool) { return true, n.roster.ApplyChanges(changes) })
+func applyChanges(n *Node, changes *catalog.ExecutorChanges) {
+	n.applyReading(time.Second, func() (accepted, changed bool) { return true, n.roster.ApplyChanges(changes) })
 }
 
-// Executors of services that the configuration doesn't name are none of this system;
-// those that had work stay, withheld, until their runs have ended.
-func TestExecutorsFollowTheServicesThatAreNamed(t *testing.T) {
+// Guards against using executors of services that are not configured, and against dropping
+// executors that may still have runs when their service is removed.
+func TestOnlyExecutorsOfConfiguredServicesAreUsed(t *testing.T) {
 	c := qt.New(t)
-	n := nodeOfServices(c)
+	n := newServiceTestNode(c)
 	list := &catalog.Executors{Revision: 1, ByID: map[string]catalog.Executor{"a": callable("a", "s"), "bb": callable("bb", "x")}}
-	n.takeReading(0, func() (accepted, news bool) { return n.roster.ApplyFull(list, 0) })
-	c.Assert(capacities(n), qt.DeepEquals, map[string]int64{"a": 1000, "bb": 1000}, qt.Commentf("nothing is known of services"))
+	n.applyReading(0, func() (accepted, changed bool) { return n.roster.ApplyFull(list, 0) })
+	c.Assert(capacities(n), qt.DeepEquals, map[string]int64{"a": 1000, "bb": 1000}, qt.Commentf("there is no configuration yet"))
 
 	n.configureServices(1, "s")
 	c.Assert(capacities(n), qt.DeepEquals, map[string]int64{"a": 1000})
@@ -70,47 +70,47 @@
 	c.Assert(capacities(n), qt.DeepEquals, map[string]int64{"a": 1000, "bb": 0})
 }
 
-// The row of a living executor stops new work at once, not after the time for which
-// one that has vanished is kept.
-func TestAnExecutorWhoseRowCanNotBeReadIsWithheldAtOnce(t *testing.T) {
+// Guards against starting runs on an executor whose row has become unreadable, which must take
+// effect at once, unlike the removal of a missing row.
+func TestExecutorWithUnreadableRowIsWithheld(t *testing.T) {
 	c := qt.New(t)
-	n := nodeOfServices(c)
+	n := newServiceTestNode(c)
 	n.configureServices(1, "s")
 	list := &catalog.Executors{Revision: 1, ByID: map[string]catalog.Executor{"a": callable("a", "s")}}
-	n.takeReading(0, func() (accepted, news bool) { return n.roster.ApplyFull(list, 0) })
-	take(n, &catalog.ExecutorChanges{Revision: 2, Unreadable: []catalog.Unreadable{{Key: "a", Reason: catalog.NoDocument}}})
+	n.applyReading(0, func() (accepted, changed bool) { return n.roster.ApplyFull(list, 0) })
+	applyChanges(n, &catalog.ExecutorChanges{Revision: 2, Unreadable: []catalog.Unreadable{{Key: "a", Reason: catalog.NoDocument}}})
 	c.Assert(capacities(n), qt.DeepEquals, map[string]int64{"a": 0})
-	take(n, &catalog.ExecutorChanges{Revision: 3, Listed: []catalog.Executor{callable("a", "s")}})
+	applyChanges(n, &catalog.ExecutorChanges{Revision: 3, Listed: []catalog.Executor{callable("a", "s")}})
 	c.Assert(capacities(n), qt.DeepEquals, map[string]int64{"a": 1000})
 }
 
-// A peer that has the executors from another one knows the withheld one as well.
-func TestAWithheldExecutorIsPassedOn(t *testing.T) {
+// Guards against a peer that uses an executor which the reader has withheld.
+func TestWithheldExecutorIsRelayed(t *testing.T) {
 	c := qt.New(t)
 	reader, n := nodeBeside(c, "z", 200, 2), nodeBeside(c, "z", 2, 200)
 	list := &catalog.Executors{Revision: 1, ByID: map[string]catalog.Executor{"a": callable("a", "s")}}
 	reader.roster.ApplyFull(list, 0)
-	n.takePassed(reader.executorsSince(0), otherAddress)
+	n.handleRelayed(reader.executorsSince(0), otherAddress)
 	c.Assert(capacities(n), qt.DeepEquals, map[string]int64{"a": 1000})
 
 	reader.roster.ApplyChanges(&catalog.ExecutorChanges{Revision: 2, Unreadable: []catalog.Unreadable{{Key: "a"}, {Key: "b"}}})
-	n.takePassed(reader.executorsSince(n.executorsRevision()), otherAddress)
+	n.handleRelayed(reader.executorsSince(n.executorsRevision()), otherAddress)
 	c.Assert(capacities(n), qt.DeepEquals, map[string]int64{"a": 0})
 }
 
-// A configuration that can't be read leaves the last one in force.
-func TestAConfigurationThatCanNotBeReadChangesNothing(t *testing.T) {
+// An unreadable configuration leaves the last one in force.
+func TestUnreadableConfigurationIsIgnored(t *testing.T) {
 	c := qt.New(t)
-	n := nodeOfServices(c)
+	n := newServiceTestNode(c)
 	n.configureServices(5, "s")
-	c.Assert(n.takeOperator(OperatorChanges{Position: 9, Body: []byte{6}, Closed: []string{"y"}}, 0), qt.IsNil)
+	c.Assert(n.applyOperator(OperatorChanges{Position: 9, Body: []byte{6}, Closed: []string{"y"}}, 0), qt.IsNil)
 	c.Assert(versionOf(n), qt.Equals, uint64(5))
-	c.Assert(n.closures.Load().Closed("y"), qt.IsTrue, qt.Commentf("the other rows hold"))
+	c.Assert(n.closures.Load().Closed("y"), qt.IsTrue, qt.Commentf("the other rows are applied"))
 	n.configureServices(7, "s")
 	c.Assert(versionOf(n), qt.Equals, uint64(7))
 }
 
-// oddStore has rows that can't be read in all of its tables.
+// oddStore is a store with an unreadable row in each of its tables.
 type oddStore struct{ fakeStore }
 
 func (f *oddStore) Executors(context.Context) (*catalog.Executors, error) {
@@ -127,9 +127,10 @@
 	}, nil
 }
 
-func TestANodeStartsBesideRowsThatCanNotBeRead(t *testing.T) {
+// Guards against a node that fails to start because of unreadable rows.
+func TestNodeStartsDespiteUnreadableRows(t *testing.T) {
 	c := qt.New(t)
-	n := nodeOfServices(c)
+	n := newServiceTestNode(c)
 	n.store = &oddStore{}
 	_, err := n.readMembers(context.Background())
 	c.Assert(err, qt.IsNil)
@@ -138,7 +139,7 @@
 	c.Assert(capacities(n), qt.DeepEquals, map[string]int64{"a": 1000})
 }
 
-func TestWhichChangesOfRowsAreTakenIn(t *testing.T) {
+func TestAffectsRows(t *testing.T) {
 	type scenario struct {
 		testName string
 		changes  MemberChanges
@@ -147,17 +148,17 @@
 	scenarios := []scenario{
 		{testName: "none"},
 		{testName: "a new row", changes: MemberChanges{Listed: []Member{{Name: "c"}}}, want: true},
-		{testName: "a row is gone", changes: MemberChanges{Removed: []string{"b"}}, want: true},
-		{testName: "a host's row can't be read any more", changes: MemberChanges{Unreadable: []catalog.Unreadable{{Key: "b"}}}, want: true},
-		{testName: "the own row, before it was read", changes: MemberChanges{Unreadable: []catalog.Unreadable{{Key: "a"}}}, want: true},
-		{testName: "another writer's row", changes: MemberChanges{Unreadable: []catalog.Unreadable{{Key: "odd"}}}},
+		{testName: "a row is removed", changes: MemberChanges{Removed: []string{"b"}}, want: true},
+		{testName: "a host's row becomes unreadable", changes: MemberChanges{Unreadable: []catalog.Unreadable{{Key: "b"}}}, want: true},
+		{testName: "the own row, which is not known yet, is unreadable", changes: MemberChanges{Unreadable: []catalog.Unreadable{{Key: "a"}}}, want: true},
+		{testName: "a row of a foreign writer", changes: MemberChanges{Unreadable: []catalog.Unreadable{{Key: "odd"}}}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			n := nodeBeside(c, "z", 1, 1)
 			delete(n.rows, "a")
-			c.Assert(n.concernsRows(s.changes), qt.Equals, s.want)
+			c.Assert(n.affectsRows(s.changes), qt.Equals, s.want)
 			_, listed := n.rows["b"]
 			c.Assert(listed, qt.IsTrue)
 		})
