--- a/pkg/node/executors.go
+++ b/pkg/node/executors.go
@@ -100,11 +100,11 @@
 
 // listTask is the next step of a node in keeping the list up to date.
 type listTask struct {
-	idle    bool // do nothing
-	read    bool // read the list or its changes; else only ping the store
-	follows bool // try the reader of the leading domain first
-	urgent  bool // an owner needs the list
-	pause   time.Duration
+	idle       bool // do nothing
+	read       bool // read the list or its changes; else only ping the store
+	tryLeading bool // try the reader of the leading domain first
+	urgent     bool // an owner needs the list
+	pause      time.Duration
 }
 
 func (n *Node) nextListTask() listTask {
@@ -117,7 +117,7 @@
 	case n.ownersNeedReading(owners):
 		return listTask{read: true, urgent: true, pause: urgentReadInterval}
 	case reads && n.followsLeading():
-		return listTask{read: true, follows: true, pause: followInterval}
+		return listTask{read: true, tryLeading: true, pause: followInterval}
 	case reads:
 		return listTask{read: true, pause: readerInterval}
 	case n.executors.Load() == nil || n.listConfirmationExpired():
@@ -168,11 +168,11 @@
 	if task.idle {
 		return false, nil
 	}
-	followed := task.follows && n.fetchFromLeading(ctx, askedAt)
-	if task.read && !followed {
+	fetched := task.tryLeading && n.fetchFromLeading(ctx, askedAt)
+	if task.read && !fetched {
 		return true, n.readExecutors(ctx, askedAt, task.urgent)
 	}
-	if followed && !n.leading.pingIsDue(askedAt) {
+	if fetched && !n.leading.pingIsDue(askedAt) {
 		return false, nil
 	}
 	return true, n.pingStore(ctx, askedAt)
@@ -287,9 +287,9 @@
 		pause = urgentReadInterval
 	}
 	n.listing.Lock()
-	may := n.roster.MayReadFull(askedAt, pause)
+	mayRead := n.roster.MayReadFull(askedAt, pause)
 	n.listing.Unlock()
-	if !may {
+	if !mayRead {
 		return nil
 	}
 	list, err := n.store.Executors(ctx)
--- a/pkg/node/heartbeat.go
+++ b/pkg/node/heartbeat.go
@@ -26,7 +26,7 @@
 type heartbeats struct {
 	mu       sync.Mutex
 	newest   *peerpb.Heartbeat // nil when a new one has to be built
-	madeAt   time.Duration
+	builtAt  time.Duration
 	sequence uint64
 
 	owners map[string]announcedOwner // by cell
@@ -70,10 +70,10 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := n.Clock.Now()
-	if h.newest == nil || now >= h.madeAt+maxHeartbeatAge {
+	if h.newest == nil || now >= h.builtAt+maxHeartbeatAge {
 		h.sequence++
-		h.newest = n.makeHeartbeat(h.sequence%gossipEvery == 1, h.sequence%allOwnersEvery == 1, now)
-		h.madeAt = now
+		h.newest = n.buildHeartbeat(h.sequence%gossipEvery == 1, h.sequence%allOwnersEvery == 1, now)
+		h.builtAt = now
 	}
 	return h.newest
 }
@@ -96,9 +96,9 @@
 	return response
 }
 
-// makeHeartbeat builds a heartbeat, if requested with the addresses of the domain's nodes and
+// buildHeartbeat builds a heartbeat, if requested with the addresses of the domain's nodes and
 // the owners of all cells. n.heartbeats.mu is held.
-func (n *Node) makeHeartbeat(gossip, owners bool, now time.Duration) *peerpb.Heartbeat {
+func (n *Node) buildHeartbeat(gossip, owners bool, now time.Duration) *peerpb.Heartbeat {
 	heartbeat := &peerpb.Heartbeat{Leaving: n.leaving.Load(), StoreFails: n.storeIsOut()}
 	if current := n.configuration.Load(); current != nil {
 		heartbeat.Version = current.snapshot.Revision
--- a/pkg/node/heartbeat_test.go
+++ b/pkg/node/heartbeat_test.go
@@ -60,5 +60,5 @@
 	n.handleHeartbeat("b:1", &peerpb.Heartbeat{Neighbours: []string{"d:1", n.settings.PeerAddress}})
 	c.Assert(n.members.Wanted(n.Clock.Now()), qt.Contains, "d:1")
 	n.setRows([]Member{n.ownRow()})
-	c.Assert(n.makeHeartbeat(false, false, 0).Unlisted, qt.IsFalse)
+	c.Assert(n.buildHeartbeat(false, false, 0).Unlisted, qt.IsFalse)
 }
--- a/pkg/node/unreadable.go
+++ b/pkg/node/unreadable.go
@@ -7,10 +7,10 @@
 
 // Names, in logs and metrics, of the tables whose rows may be unreadable.
 const (
-	tableOfExecutors = "executors"
-	tableOfMembers   = "members"
-	tableOfOperator  = "operator"
-	tableOfAnswers   = "answers" // hold responses of executors, which are not a table of the store
+	tableOfExecutors     = "executors"
+	tableOfMembers       = "members"
+	tableOfOperator      = "operator"
+	tableOfHoldResponses = "answers" // hold responses of executors, which are not a table of the store
 )
 
 // recordUnreadable counts and logs unreadable rows.
@@ -60,9 +60,9 @@
 // executor begins to report unreadable runs.
 func (n *Node) noteAnswer(response cell.HoldResponse) {
 	if response.UnreadableRuns > 0 {
-		n.metrics.RowsUnreadable(tableOfAnswers, string(catalog.HiddenRun), response.UnreadableRuns)
+		n.metrics.RowsUnreadable(tableOfHoldResponses, string(catalog.HiddenRun), response.UnreadableRuns)
 	}
 	if response.UnreadableEnds > 0 {
-		n.metrics.RowsUnreadable(tableOfAnswers, string(catalog.HiddenEnd), response.UnreadableEnds)
+		n.metrics.RowsUnreadable(tableOfHoldResponses, string(catalog.HiddenEnd), response.UnreadableEnds)
 	}
 }
