--- a/pkg/node/relaying_test.go
+++ b/pkg/node/relaying_test.go
@@ -18,8 +18,8 @@
 
 const otherAddress = "127.0.0.2:1"
 
-// nodeBeside makes a node with a link to another node, which is of the given domain.
-func nodeBeside(c *qt.C, domain string, ownMbps, otherMbps float64) *Node {
+// newNodeWithPeer makes a node with a link to another node, which is of the given domain.
+func newNodeWithPeer(c *qt.C, domain string, ownMbps, otherMbps float64) *Node {
 	n := newTestNode(c, &fakeStore{})
 	n.settings.LinkMbps = ownMbps
 	n.rows = map[string]Member{
@@ -52,7 +52,7 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			n := nodeBeside(c, s.domain, s.ownMbps, s.otherMbps)
+			n := newNodeWithPeer(c, s.domain, s.ownMbps, s.otherMbps)
 			if s.ownsCell {
 				n.claims.SetClaims(n.settings.PeerAddress, []ownership.Claim{{Cell: "z", Token: 1}})
 			}
@@ -83,7 +83,7 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			n := nodeBeside(c, "z", s.ownMbps, 25)
+			n := newNodeWithPeer(c, "z", s.ownMbps, 25)
 			n.roster.ApplyFull(&catalog.Executors{Revision: 1}, 0)
 			n.publish(true, n.Clock.Now()-time.Hour)
 			n.passedAt.Store(int64(n.Clock.Now() - s.confirmedAgo))
@@ -97,9 +97,9 @@
 
 func TestRelayedChangesAreApplied(t *testing.T) {
 	c := qt.New(t)
-	reader := nodeBeside(c, "z", 200, 2)
+	reader := newNodeWithPeer(c, "z", 200, 2)
 	reader.roster.ApplyFull(&catalog.Executors{Revision: 10, ByID: map[string]catalog.Executor{"e": {ID: "e", Service: "s", Domain: "z", Address: "10.0.0.1:1", Capacity: job.Resources{CPU: 1}}}}, 0)
-	n := nodeBeside(c, "z", 2, 200)
+	n := newNodeWithPeer(c, "z", 2, 200)
 	n.handleRelayed(reader.executorsSince(0), otherAddress)
 	c.Assert(n.executors.Load().cells["z"], qt.HasLen, 1)
 	c.Assert(n.listConfirmationExpired(), qt.IsFalse)
@@ -197,7 +197,7 @@
 // Guards against nodes reading the store when the reader sends heartbeats but no changes.
 func TestReadersHeartbeatConfirmsTheList(t *testing.T) {
 	c := qt.New(t)
-	n := nodeBeside(c, "z", 25, 200)
+	n := newNodeWithPeer(c, "z", 25, 200)
 	n.Clock = &common.ManualClock{At: time.Minute}
 	n.handleHeartbeat(otherAddress, &peerpb.Heartbeat{})
 	c.Assert(n.listConfirmationExpired(), qt.IsTrue)
@@ -209,7 +209,7 @@
 // between the last nextListTask and the last updateReader.
 func TestNewReaderReadsAtOnce(t *testing.T) {
 	c := qt.New(t)
-	n := nodeBeside(c, "z", 25, 200)
+	n := newNodeWithPeer(c, "z", 25, 200)
 	requested := func() bool {
 		select {
 		case <-n.claimed:
--- a/pkg/node/unreadable_test.go
+++ b/pkg/node/unreadable_test.go
@@ -87,7 +87,7 @@
 // Guards against a peer that uses an executor which the reader has withheld.
 func TestWithheldExecutorIsRelayed(t *testing.T) {
 	c := qt.New(t)
-	reader, n := nodeBeside(c, "z", 200, 2), nodeBeside(c, "z", 2, 200)
+	reader, n := newNodeWithPeer(c, "z", 200, 2), newNodeWithPeer(c, "z", 2, 200)
 	list := &catalog.Executors{Revision: 1, ByID: map[string]catalog.Executor{"a": callable("a", "s")}}
 	reader.roster.ApplyFull(list, 0)
 	n.handleRelayed(reader.executorsSince(0), otherAddress)
@@ -156,7 +156,7 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			n := nodeBeside(c, "z", 1, 1)
+			n := newNodeWithPeer(c, "z", 1, 1)
 			delete(n.rows, "a")
 			c.Assert(n.affectsRows(s.changes), qt.Equals, s.want)
 			_, listed := n.rows["b"]
