--- a/pkg/cell/explore_beats_test.go
+++ b/pkg/cell/explore_beats_test.go
@@ -5,76 +5,78 @@
 	"time"
 )
 
-// Hosts beat to the owners of their own domain and to those that have jobs of
-// theirs, and some times slower to the others.
+// Hosts send heartbeats to the owners of their own domain and to those that have jobs
+// of theirs at every interval, and to other owners at every slowHeartbeatFactor-th.
 const (
-	beatInterval = 150 * ms
-	slowerBeats  = 4
-	// sureInterval is how often a host looks up to which times it vouches for its
-	// callers: those that it had heard at the look before the last one.
-	sureInterval = 50 * ms
+	heartbeatInterval   = 150 * ms
+	slowHeartbeatFactor = 4
+	// confirmInterval is the time between two calls of advanceConfirmed.
+	confirmInterval = 50 * ms
 )
 
-// beat is what a front tells an owner again and again.
-type beat struct {
-	link *link
-	echo time.Duration // the newest time of the owner up to which the front vouches; 0 for none
-	ids  []string      // of the jobs and parts that the front waits for there
+// heartbeat is what a front repeatedly sends to an owner.
+type heartbeat struct {
+	link      *link
+	renewedAt time.Duration // the newest timestamp of the owner at which the front's callers are confirmed to have waited; 0 for none
+	ids       []string      // of the jobs and parts that the front waits for there
 }
 
-// beat has hosts beat and look for silent peers when it is time.
-func (w *cluster) beat() {
+// sendHeartbeats has the hosts that are awake send their heartbeats and check their
+// peers when these are due.
+func (w *cluster) sendHeartbeats() {
 	for _, h := range w.hosts {
 		if !h.awake() {
 			continue
 		}
-		if (w.now+h.phase)%sureInterval == 0 || h.wokeNow() {
-			h.growSure()
+		if (w.now+h.phase)%confirmInterval == 0 || h.wokeNow() {
+			h.advanceConfirmed()
 		}
-		if (w.now+h.phase)%beatInterval == 0 || h.wokeNow() {
-			h.beatToOwners()
+		if (w.now+h.phase)%heartbeatInterval == 0 || h.wokeNow() {
+			h.sendOwnHeartbeats()
 		}
-		if (w.now+h.phase)%lookInterval == 0 || h.wokeNow() {
-			h.look()
+		if (w.now+h.phase)%peerCheckInterval == 0 || h.wokeNow() {
+			h.checkPeers()
 		}
 	}
 }
 
-// wokeNow reports whether a host stood still until now: what was due meanwhile is
-// done first.
+// wokeNow reports whether a host wakes at this step, where it does what came due
+// during its freeze.
 func (h *host) wokeNow() bool { return h.frozen > 0 && h.frozen == h.cluster.now }
 
-// growSure moves the times on up to which a host vouches for its callers. Two looks
-// with less between them than a process needs to notice what has come are one.
-func (h *host) growSure() {
+// advanceConfirmed advances the timestamps up to which a host confirms that its
+// callers still wait. A timestamp is confirmed by the second call after its receipt,
+// which leaves the host time to notice connections that its callers had closed by
+// then. A call sooner than confirmInterval after the last one does nothing.
+func (h *host) advanceConfirmed() {
 	now := h.cluster.now
-	if now < h.sureLook+sureInterval {
+	if now < h.lastConfirm+confirmInterval {
 		return
 	}
-	h.sureHere, h.sureLook = h.sureLook, now
+	h.confirmedHere, h.lastConfirm = h.lastConfirm, now
 	for _, l := range h.links {
-		l.sure, l.aging = l.aging, l.told
+		l.confirmed, l.previousOwnerTime = l.previousOwnerTime, l.ownerTime
 	}
 }
 
-// beatToOwners tells owners what this front waits for there.
-func (h *host) beatToOwners() {
+// sendOwnHeartbeats reports to the owners which jobs this front waits for there.
+func (h *host) sendOwnHeartbeats() {
 	w := h.cluster
-	h.beats++
-	for _, o := range h.ownersToTell() {
-		ids := h.idsWith(o)
+	h.heartbeats++
+	for _, o := range h.ownersDueHeartbeat() {
+		ids := h.idsAt(o)
 		if o.host == h {
-			o.renew(ids, h.sureHere)
+			o.renew(ids, h.confirmedHere)
 			continue
 		}
 		l := h.linkTo(o)
-		b := beat{link: l, echo: l.sure, ids: ids}
-		w.to(o.host, w.travel(), func() { o.beatArrived(b) })
+		b := heartbeat{link: l, renewedAt: l.confirmed, ids: ids}
+		w.deliverTo(o.host, w.networkDelay(), func() { o.handleHeartbeat(b) })
 	}
 }
 
-// ownersToTell returns the owners that this front beats to now.
-func (h *host) ownersToTell() []*owner {
+// ownersDueHeartbeat returns the owners that this front sends a heartbeat to now.
+func (h *host) ownersDueHeartbeat() []*owner {
 	var owners []*owner
 	for _, a := range h.open {
 		if a.owner != nil && !slices.Contains(owners, a.owner) {
@@ -82,16 +84,16 @@
 		}
 	}
 	for _, d := range h.cluster.domains {
-		due := d == h.domain || h.beats%slowerBeats == 0
-		if o := d.known; due && o != nil && h.reachable(o) && !slices.Contains(owners, o) {
+		due := d == h.domain || h.heartbeats%slowHeartbeatFactor == 0
+		if o := d.announced; due && o != nil && h.reachable(o) && !slices.Contains(owners, o) {
 			owners = append(owners, o)
 		}
 	}
 	return owners
 }
 
-// idsWith returns what this front waits for at an owner.
-func (h *host) idsWith(o *owner) []string {
+// idsAt returns the ids of the jobs that this front waits for at an owner.
+func (h *host) idsAt(o *owner) []string {
 	var ids []string
 	for _, a := range h.open {
 		if a.owner == o {
@@ -101,28 +103,28 @@
 	return ids
 }
 
-// beatArrived takes a beat, and answers it with the owner's time.
-func (o *owner) beatArrived(b beat) {
+// handleHeartbeat renews the jobs of a heartbeat and answers with the owner's time.
+func (o *owner) handleHeartbeat(b heartbeat) {
 	w := o.host.cluster
-	if b.link.ownerOver {
+	if b.link.ownerClosed {
 		return
 	}
-	o.host.heard[b.link.front] = w.now
-	o.renew(b.ids, b.echo)
-	told := w.now
-	w.to(b.link.front, w.travel(), func() {
-		if b.link.frontOver {
+	o.host.lastReceived[b.link.front] = w.now
+	o.renew(b.ids, b.renewedAt)
+	ownerTime := w.now
+	w.deliverTo(b.link.front, w.networkDelay(), func() {
+		if b.link.frontClosed {
 			return
 		}
-		b.link.told = max(b.link.told, told)
-		b.link.front.heard[o.host] = w.now
+		b.link.ownerTime = max(b.link.ownerTime, ownerTime)
+		b.link.front.lastReceived[o.host] = w.now
 	})
 }
 
-// renew takes that a front waited still for jobs at a time of this owner.
+// renew records that a front still waited for jobs at a timestamp of this owner.
 func (o *owner) renew(ids []string, at time.Duration) {
 	o.handle(func() { o.cell.Renew(ids, at, o.host.cluster.now) })
 	for _, id := range ids {
-		o.waited[id] = max(o.waited[id], at)
+		o.renewedAt[id] = max(o.renewedAt[id], at)
 	}
 }
--- a/pkg/cell/explore_caller_test.go
+++ b/pkg/cell/explore_caller_test.go
@@ -7,9 +7,9 @@
 	"github.com/foxcroft/foxcroft/pkg/job"
 )
 
-// callerGone is how long a front that is awake needs at most to notice that a
-// caller's connection has broken.
-const callerGone = 5 * ms
+// maxDisconnectNotice is how long a front that is awake needs at most to notice that a
+// caller's connection has closed.
+const maxDisconnectNotice = 5 * ms
 
 // call is a job as its caller sees it.
 type call struct {
@@ -20,16 +20,16 @@
 	deadline time.Duration
 }
 
-// sending is one sending of a call, by one front.
-type sending struct {
-	call     *call
-	front    *host
-	attempts []*attempt
-	broken   bool // the connection has ended
+// submission is one request of a caller for its call, at one front.
+type submission struct {
+	call         *call
+	front        *host
+	attempts     []*attempt
+	disconnected bool // the connection has closed
 }
 
-// newCall has a caller hand in a job: a short one, or one that lasts for longer
-// than callers wait until they send again.
+// newCall has a caller submit a job whose tasks are estimated to be either short or
+// longer than callerResends.
 func (w *cluster) newCall() {
 	c := &call{cluster: w, id: fmt.Sprintf("job%d", len(w.jobs)+1), tasks: 1 + w.random.IntN(4), estimate: 200 * ms, deadline: w.now + 5*time.Second}
 	if w.oneIn(4) {
@@ -39,23 +39,23 @@
 	c.send()
 }
 
-// send sends the job by any front. Now and then the connection breaks.
+// send submits the job at any front. The connection of some submissions closes early.
 func (c *call) send() {
 	w := c.cluster
 	h := w.anyHost()
 	if h == nil || w.now > c.deadline {
 		return
 	}
-	s := &sending{call: c, front: h}
-	h.sendings = append(h.sendings, s)
-	w.note(c.id, "its caller sends %s to %s", c.id, h.name)
-	w.to(h, ms, s.accept)
+	s := &submission{call: c, front: h}
+	h.submissions = append(h.submissions, s)
+	w.record(c.id, "the caller submits %s to %s", c.id, h.name)
+	w.deliverTo(h, ms, s.accept)
 	if w.oneIn(8) {
-		w.after(w.between(0, 600*ms), s.breakOff)
+		w.after(w.between(0, 600*ms), s.disconnect)
 	}
 }
 
-// anyHost returns a host that takes connections, or nil.
+// anyHost returns a random host that accepts connections, or nil.
 func (w *cluster) anyHost() *host {
 	var living []*host
 	for _, h := range w.hosts {
@@ -69,18 +69,18 @@
 	return living[w.random.IntN(len(living))]
 }
 
-// breakOff ends the connection. The caller sends the job again, and the front, if
-// it lives, notices.
-func (s *sending) breakOff() {
+// disconnect closes the connection. The caller resubmits the job later, and the front
+// notices if it is alive.
+func (s *submission) disconnect() {
 	w := s.call.cluster
-	if s.broken || s.answered() {
+	if s.disconnected || s.answered() {
 		return
 	}
-	s.broken = true
-	w.count.sentAgain++
-	w.note(s.call.id, "the connection for %s at %s breaks", s.call.id, s.front.name)
+	s.disconnected = true
+	w.count.resubmitted++
+	w.record(s.call.id, "the connection for %s at %s closes", s.call.id, s.front.name)
 	w.after(callerResends, s.call.send)
-	w.to(s.front, w.between(0, callerGone), func() {
+	w.deliverTo(s.front, w.between(0, maxDisconnectNotice), func() {
 		for _, a := range s.attempts {
 			a.callerLeft()
 		}
@@ -88,19 +88,19 @@
 }
 
 // answered reports whether the front has an answer for the caller.
-func (s *sending) answered() bool {
+func (s *submission) answered() bool {
 	for _, a := range s.attempts {
-		if !a.over {
+		if !a.done {
 			return false
 		}
 	}
 	return len(s.attempts) > 0
 }
 
-// accept has the front follow the job, half of the time in two parts.
-func (s *sending) accept() {
+// accept has the front dispatch the job, half of the time in two parts.
+func (s *submission) accept() {
 	c, w := s.call, s.call.cluster
-	if s.broken {
+	if s.disconnected {
 		return
 	}
 	j := testJob(c.id, c.tasks, w.now)
@@ -114,6 +114,6 @@
 		a := &attempt{front: s.front, job: part, epoch: 1}
 		s.attempts = append(s.attempts, a)
 		s.front.open = append(s.front.open, a)
-		a.follow()
+		a.tryDispatch()
 	}
 }
--- a/pkg/cell/explore_cluster_test.go
+++ b/pkg/cell/explore_cluster_test.go
@@ -10,11 +10,10 @@
 	"github.com/foxcroft/foxcroft/pkg/catalog"
 )
 
-// This explorer plays two domains with a cell each. Hosts are fronts, and owners
-// of the cell that they have claimed; they die, also one after the other, and
-// stand still, also again and again. Callers whose connection has broken send
-// their jobs again, and any front may hand them to either cell. The times are
-// those of pkg/node.
+// This explorer simulates two domains with a cell each. Hosts are fronts and may own
+// the cell of their domain. They crash, also in chains, and freeze, also repeatedly.
+// Callers whose connection closed resubmit their jobs, and any front may hand them to
+// either cell. The timeouts are those of pkg/node.
 const (
 	clusterStep     = ms
 	clusterTime     = 12 * time.Second
@@ -24,11 +23,11 @@
 	hostRestart     = 600 * ms
 )
 
-// cluster is one play.
+// cluster is the state of one simulation.
 type cluster struct {
 	orders
 	domains []*domain
-	hosts   []*host // also those that have died
+	hosts   []*host // crashed ones included
 	jobs    map[string]*call
 	count   clusterCount
 	faults  faults
@@ -36,46 +35,46 @@
 	trace   []traceLine
 }
 
-// clusterCount is what a play has seen.
+// clusterCount counts what happened in a simulation.
 type clusterCount struct {
-	ended     int // jobs that were completed
-	sentAgain int
-	takeovers int
-	withheld  int // rows that couldn't be read for a while
-	suspected int // jobs that an owner gave back as it heard nothing of their fronts
+	ended       int // jobs that were completed
+	resubmitted int
+	takeovers   int
+	withheld    int // rows that were withheld for a while
+	suspected   int // jobs that weren't renewed in time or whose front an owner found unresponsive
 
-	refusals    int // times that an executor refused everything for a while
-	crashes     int // lives of executors that ended
-	misanswered int // times that an executor misanswered everything for a while
+	refusalPeriods int // times that an executor refused all commands for a while
+	crashes        int // of executors
+	unclearPeriods int // times that an executor gave unclear answers for a while
 }
 
 // domain is a cell, and the hosts that may own it.
 type domain struct {
-	name   string
-	listed []catalog.Executor
-	owners []*owner // the newest comes last
-	known  *owner   // whom fronts know as the owner; nil for none
-	dying  int      // so many of the next owners die soon after their claims
+	name           string
+	listed         []catalog.Executor
+	owners         []*owner // the newest comes last
+	announced      *owner   // whom fronts know as the owner; nil for none
+	pendingCrashes int      // how many of the next owners crash soon after their claims
 }
 
 func (d *domain) newest() *owner { return d.owners[len(d.owners)-1] }
 
-// traceLine is an event of a job, or of hosts when it has no job.
+// traceLine is an event of a job, or of hosts if it has no job.
 type traceLine struct {
 	at   time.Duration
 	job  string
 	text string
 }
 
-// note keeps an event for a trace.
-func (w *cluster) note(job, format string, args ...any) {
+// record adds an event to the trace.
+func (w *cluster) record(job, format string, args ...any) {
 	if w.tracing {
 		w.trace = append(w.trace, traceLine{at: w.now, job: job, text: fmt.Sprintf(format, args...)})
 	}
 }
 
-// traceOf returns what concerns a job, and what hosts did from a moment before it
-// came.
+// traceOf returns the events of a job, and those of hosts from one second before its
+// first one.
 func (w *cluster) traceOf(job string) string {
 	first := slices.IndexFunc(w.trace, func(line traceLine) bool { return line.job == job })
 	from := w.trace[first].at - time.Second
@@ -90,18 +89,18 @@
 
 func newCluster(seed uint64, f faults) *cluster {
 	w := &cluster{jobs: map[string]*call{}, faults: f}
-	w.calm = !f.orders
-	w.fates = f.fates
+	w.calm = !f.commands
+	w.rates = f.rates
 	w.random = rand.New(rand.NewPCG(seed, 2))
-	w.lasts = w.runLasts
+	w.lasts = w.drawRun
 	for i := range 2 {
 		d := &domain{name: fmt.Sprintf("z%d", i+1)}
 		w.domains = append(w.domains, d)
 		for j := range domainExecutors {
 			number := i*domainExecutors + j
 			e := newModelExecutor(number, 1-maxClockDrift*w.random.Float64())
-			if f.lives {
-				e.born = 1
+			if f.executorCrashes {
+				e.startedAt = 1
 			}
 			w.executors = append(w.executors, e)
 			d.listed = append(d.listed, e.info(number))
@@ -114,24 +113,24 @@
 	return w
 }
 
-// play runs to the end, or to the first task that runs twice at once.
-func (w *cluster) play() {
+// run runs the simulation to its end, or until a task runs twice at once.
+func (w *cluster) run() {
 	for w.now < clusterTime && len(w.doubles) == 0 {
 		w.now += clusterStep
 		w.fire()
-		w.beat()
+		w.sendHeartbeats()
 		if w.now%exploreStep != 0 {
 			continue
 		}
 		if w.now < clusterArrivals && w.oneIn(24) {
 			w.newCall()
 		}
-		w.trouble()
+		w.injectFault()
 		w.tick()
 	}
 }
 
-// tick lets time pass at the owners that are awake.
+// tick advances the clock of the owners that are awake.
 func (w *cluster) tick() {
 	for _, d := range w.domains {
 		for _, o := range d.owners {
@@ -142,11 +141,11 @@
 	}
 }
 
-// runLasts draws how a run of a task goes.
-func (w *cluster) runLasts(task string) (time.Duration, EndKind) {
+// drawRun draws the duration and the end of a run.
+func (w *cluster) drawRun(task string) (time.Duration, EndKind) {
 	id, _, _ := strings.Cut(task, ".")
 	estimate := w.jobs[id].estimate
-	w.note(id, "%s starts", task)
+	w.record(id, "%s starts", task)
 	kind := EndDone
 	if w.oneIn(12) {
 		kind = EndFailed
--- a/pkg/cell/explore_executor_test.go
+++ b/pkg/cell/explore_executor_test.go
@@ -12,58 +12,59 @@
 // modelRun is a run on a model executor.
 type modelRun struct {
 	number int64
-	ends   time.Duration // on our clock
+	ends   time.Duration // on the simulation's clock
 	kind   EndKind
 }
 
-// modelExecutor follows the users' protocol for leases.
+// modelExecutor implements the executor's side of the lease protocol.
 type modelExecutor struct {
-	id       string
-	rate     float64 // of its clock to ours
-	fence    int64
-	deadline time.Duration
-	runs     map[string]modelRun
-	highest  map[string]int64
-	ended    []EndedTask // those that it hasn't forgotten
-	next     int64
-	cut      bool
-	hides    bool // its answers tell of no run
-	lapses   int  // so often all leases have ended
-	lapsed   bool // and none was given since
-	onEnd    func(e *modelExecutor, end EndedTask)
-	onNoted  func(e *modelExecutor, end EndedTask) // an owner has seen it
-
-	born   int64         // when its life began, as it tells it; 0 when it doesn't
-	bornAt time.Duration // on our clock
-	lives  int
-
-	refuses    bool // it carries nothing out, and says so
-	misanswers bool // its answers don't say whether it has carried anything out
+	id         string
+	clockRate  float64 // relative to the simulation's clock
+	fence      int64
+	deadline   time.Duration
+	runs       map[string]modelRun
+	highest    map[string]int64
+	ended      []EndedTask // ends that it hasn't forgotten
+	next       int64
+	cut        bool
+	hidesRuns  bool // its hold responses report all runs as unreadable
+	lapseCount int  // how many times all leases expired
+	lapsed     bool // the leases have expired and none was given since
+	onEnd      func(e *modelExecutor, end EndedTask)
+	onForget   func(e *modelExecutor, end EndedTask) // called for each end that an owner has seen and that is therefore forgotten
+
+	startedAt   int64         // when its incarnation started, as it publishes it; 0 if it doesn't
+	restartedAt time.Duration // on the simulation's clock
+	restarts    int
+
+	refuses        bool // it carries out no command, and says so
+	answersUnclear bool // its answers don't say whether it carried out the command
 }
 
 func newModelExecutor(i int, rate float64) *modelExecutor {
-	return &modelExecutor{id: executorID(i), rate: rate, runs: map[string]modelRun{}, highest: map[string]int64{}}
+	return &modelExecutor{id: executorID(i), clockRate: rate, runs: map[string]modelRun{}, highest: map[string]int64{}}
 }
 
 func (e *modelExecutor) clock(now time.Duration) time.Duration {
-	if e.lives > 0 {
-		return time.Duration(float64(now-e.bornAt) * e.rate)
+	if e.restarts > 0 {
+		return time.Duration(float64(now-e.restartedAt) * e.clockRate)
 	}
-	return time.Hour + time.Duration(float64(now)*e.rate)
+	return time.Hour + time.Duration(float64(now)*e.clockRate)
 }
 
-// bear ends all that it runs and knows: another life begins under its id.
-func (e *modelExecutor) bear(now time.Duration) {
-	e.lives++
-	e.born, e.bornAt = int64(e.lives+1), now
+// restart ends all runs, drops all state and begins another incarnation under the same
+// id.
+func (e *modelExecutor) restart(now time.Duration) {
+	e.restarts++
+	e.startedAt, e.restartedAt = int64(e.restarts+1), now
 	e.fence, e.deadline, e.next = 0, 0, 0
 	e.runs, e.highest, e.ended = map[string]modelRun{}, map[string]int64{}, nil
 }
 
-// info returns what it publishes of itself.
+// info returns its published row.
 func (e *modelExecutor) info(number int) catalog.Executor {
 	info := testExecutor(number)
-	info.StartedAt = e.born
+	info.StartedAt = e.startedAt
 	return info
 }
 
@@ -79,11 +80,11 @@
 	}
 }
 
-// pass ends what is over by now.
+// pass ends the runs that are finished or whose leases have expired by now.
 func (e *modelExecutor) pass(now time.Duration) {
 	lapsed := e.clock(now) >= e.deadline
 	if lapsed && !e.lapsed {
-		e.lapses++
+		e.lapseCount++
 	}
 	e.lapsed = lapsed
 	var over []string
@@ -106,8 +107,8 @@
 	e.deadline = max(e.deadline, min(deadline, e.clock(now)+time.Second))
 }
 
-// obey carries an order out and returns its verdict. A run that it starts goes
-// on for as long as lasts says, and ends so.
+// obey applies a command and returns its verdict. The function lasts draws the
+// duration and the end of a run that it starts.
 func (e *modelExecutor) obey(command Command, lasts func() (time.Duration, EndKind), now time.Duration) Verdict {
 	e.pass(now)
 	if command.Token < e.fence {
@@ -146,24 +147,24 @@
 	return Accepted
 }
 
-// forget drops the ends that an owner has seen.
+// forget drops the ends up to lastSeen, which an owner has seen.
 func (e *modelExecutor) forget(lastSeen int64) {
 	index, _ := slices.BinarySearchFunc(e.ended, lastSeen+1, func(end EndedTask, number int64) int { return cmp.Compare(end.Number, number) })
-	if e.onNoted != nil {
+	if e.onForget != nil {
 		for _, end := range e.ended[:index] {
-			e.onNoted(e, end)
+			e.onForget(e, end)
 		}
 	}
 	e.ended = e.ended[index:len(e.ended):len(e.ended)]
 }
 
-// ends returns the ends that a hold lists: at most 500 at once.
+// ends returns the ends that a hold response lists: at most 500.
 func (e *modelExecutor) ends() []EndedTask {
 	count := min(len(e.ended), 500)
 	return e.ended[:count:count]
 }
 
-// running returns the runs that a hold lists.
+// running returns the runs that a hold response lists.
 func (e *modelExecutor) running() []RunningTask {
 	var running []RunningTask
 	for _, task := range slices.Sorted(maps.Keys(e.runs)) {
--- a/pkg/cell/explore_front_test.go
+++ b/pkg/cell/explore_front_test.go
@@ -8,68 +8,70 @@
 )
 
 const (
-	frontSettles = testJobLease + 50*ms // after which a front hands the job of a lost owner to another cell
-	frontPause   = 20 * ms              // before a front looks for another owner
+	lostRunsEndWithin = testJobLease + 50*ms // from the loss of an owner until no unrenewed run of its cell can be alive
+	ownerRetryDelay   = 20 * ms              // before a front looks for an owner again
 )
 
-// attempt is a job, or a part of one, that a front follows from owner to owner.
+// attempt is a job, or a part of one, that a front hands to one owner after another
+// until it ends.
 type attempt struct {
 	front    *host
 	job      *job.Job
 	epoch    int
 	progress []job.Progress
-	owner    *owner  // that has it, as far as the front knows; nil while it looks for one
+	owner    *owner  // the owner that has the job, as far as the front knows; nil for none
 	link     *link   // to the owner; nil for one on the same host
 	cell     *domain // of that owner
-	lostCell *domain // where runs of it may go on; nil for none
+	lostCell *domain // where runs of it may still be alive; nil for none
 	settleAt time.Duration
-	over     bool // the front no longer waits
+	done     bool // the front no longer waits
 }
 
-// dispatch is what a front tells an owner of a job.
+// dispatch is what a front sends to an owner with a job.
 type dispatch struct {
-	job      *job.Job
-	epoch    int
-	progress []job.Progress
-	settle   time.Duration // no start sooner, from the arrival on
-	echo     time.Duration // the newest time of the owner up to which the front vouches; 0 for none
+	job         *job.Job
+	epoch       int
+	progress    []job.Progress
+	settleDelay time.Duration // from the arrival until the first start is allowed
+	renewedAt   time.Duration // the newest timestamp of the owner at which the front's callers are confirmed to have waited; 0 for none
 }
 
 func (a *attempt) id() string { return a.job.WholeID() }
 
-// follow hands the job to an owner, as soon as one is known.
-func (a *attempt) follow() {
+// tryDispatch hands the job to an owner, or retries later if none is known.
+func (a *attempt) tryDispatch() {
 	w := a.front.cluster
-	if a.over {
+	if a.done {
 		return
 	}
 	if w.now > a.job.Deadline {
-		a.end()
+		a.finish()
 		return
 	}
-	d := a.choose()
+	d := a.chooseDomain()
 	if d == nil {
-		a.again()
+		a.retry()
 		return
 	}
 	a.dispatchTo(d)
 }
 
-// again looks for an owner a moment later.
-func (a *attempt) again() {
+// retry looks for an owner again after a delay.
+func (a *attempt) retry() {
 	a.owner, a.link = nil, nil
-	a.front.cluster.to(a.front, frontPause, a.follow)
+	a.front.cluster.deliverTo(a.front, ownerRetryDelay, a.tryDispatch)
 }
 
-// choose returns the cell for a job. One whose owner was lost stays with its cell
-// until its runs there have settled.
-func (a *attempt) choose() *domain {
+// chooseDomain returns the cell for a job, or nil if its owner is unknown or
+// unreachable. A job whose owner was lost stays with its cell until no run of it can
+// be alive there.
+func (a *attempt) chooseDomain() *domain {
 	w := a.front.cluster
 	d := w.domains[w.random.IntN(len(w.domains))]
 	if a.lostCell != nil && w.now < a.settleAt {
 		d = a.lostCell
 	}
-	if d.known == nil || !a.front.reachable(d.known) {
+	if d.announced == nil || !a.front.reachable(d.announced) {
 		return nil
 	}
 	return d
@@ -77,96 +79,97 @@
 
 func (a *attempt) dispatchTo(target *domain) {
 	w := a.front.cluster
-	o := target.known
+	o := target.announced
 	d := dispatch{job: a.job, epoch: a.epoch, progress: a.progress}
 	if a.lostCell != nil && a.lostCell != target {
-		d.settle = max(0, a.settleAt-w.now)
+		d.settleDelay = max(0, a.settleAt-w.now)
 	}
 	a.owner, a.cell, a.link = o, target, nil
 	from := waiter{id: a.job.ID, front: a.front, attempt: a}
 	if o.host == a.front {
-		d.echo = a.front.sureHere
+		d.renewedAt = a.front.confirmedHere
 		o.submit(from, d)
 		return
 	}
 	a.link = a.front.linkTo(o)
-	from.link, d.echo = a.link, a.link.sure
-	w.note(a.id(), "%s sends %s to %s, epoch %d", a.front.name, a.job.ID, o.name(), a.epoch)
-	w.to(o.host, w.backedUp(20), func() {
-		if !from.link.ownerOver {
-			o.host.heard[a.front] = w.now
+	from.link, d.renewedAt = a.link, a.link.confirmed
+	w.record(a.id(), "%s sends %s to %s, epoch %d", a.front.name, a.job.ID, o.name(), a.epoch)
+	w.deliverTo(o.host, w.streamDelay(20), func() {
+		if !from.link.ownerClosed {
+			o.host.lastReceived[a.front] = w.now
 			o.submit(from, d)
 		}
 	})
 }
 
-// backedUp is the time of a message on a stream that is held up once in so many
-// times.
-func (w *cluster) backedUp(oneIn int) time.Duration {
-	if w.faults.words && w.oneIn(oneIn) {
+// streamDelay returns the time that a message takes on a stream that, with
+// frontMessages faults, is held up once in so many times.
+func (w *cluster) streamDelay(oneIn int) time.Duration {
+	if w.faults.frontMessages && w.oneIn(oneIn) {
 		return w.between(20*ms, 400*ms)
 	}
-	return w.travel()
+	return w.networkDelay()
 }
 
-// take takes the answer of an owner.
-func (a *attempt) take(from *owner, outcome job.Outcome) {
+// handleOutcome handles the answer of an owner.
+func (a *attempt) handleOutcome(from *owner, outcome job.Outcome) {
 	w := a.front.cluster
-	if a.over || a.owner != from {
+	if a.done || a.owner != from {
 		return
 	}
 	if outcome.Kind != job.Moved {
 		if outcome.Kind == job.Completed {
 			w.count.ended++
 		}
-		w.note(a.id(), "%s learns that %s is %s", a.front.name, a.job.ID, outcome.Kind)
-		a.end()
+		w.record(a.id(), "%s learns that %s is %s", a.front.name, a.job.ID, outcome.Kind)
+		a.finish()
 		return
 	}
 	if outcome.Reason != "not_owner" {
 		a.epoch++
 		a.progress = outcome.Progress
 		if outcome.Started {
-			a.lostCell, a.settleAt = a.cell, w.now+frontSettles
+			a.lostCell, a.settleAt = a.cell, w.now+lostRunsEndWithin
 		}
 	}
-	a.again()
+	a.retry()
 }
 
-// lost takes the job back from an owner that can't be asked.
-func (a *attempt) lost() {
+// ownerLost handles the loss of the owner that had the job.
+func (a *attempt) ownerLost() {
 	w := a.front.cluster
-	w.note(a.id(), "%s has lost the owner of %s, %s", a.front.name, a.job.ID, a.owner.name())
+	w.record(a.id(), "%s has lost the owner of %s, %s", a.front.name, a.job.ID, a.owner.name())
 	a.epoch++
 	a.progress = nil
-	a.lostCell, a.settleAt = a.cell, w.now+frontSettles
-	a.again()
+	a.lostCell, a.settleAt = a.cell, w.now+lostRunsEndWithin
+	a.retry()
 }
 
-// end ends the front's wait.
-func (a *attempt) end() {
-	a.over = true
+// finish ends the front's wait.
+func (a *attempt) finish() {
+	a.done = true
 	a.front.open = slices.DeleteFunc(a.front.open, func(other *attempt) bool { return other == a })
 }
 
-// callerLeft ends the front's wait and tells the owner. On the way to another
-// host the word may be lost, or overtake the job or be overtaken.
+// callerLeft ends the front's wait and withdraws the job from its owner. With
+// frontMessages faults, a withdrawal to another host may be lost, overtake the job or
+// be overtaken.
 func (a *attempt) callerLeft() {
-	if a.over {
+	if a.done {
 		return
 	}
 	w, o, l := a.front.cluster, a.owner, a.link
-	a.end()
+	a.finish()
 	switch {
 	case o == nil:
 	case l == nil:
 		o.withdraw(a.job.ID, a.front, "caller_left")
-	case w.faults.words && w.oneIn(10):
-		w.note(a.id(), "%s withdraws %s from %s: lost", a.front.name, a.job.ID, o.name())
+	case w.faults.frontMessages && w.oneIn(10):
+		w.record(a.id(), "%s withdraws %s from %s, message lost", a.front.name, a.job.ID, o.name())
 	default:
-		w.note(a.id(), "%s withdraws %s from %s", a.front.name, a.job.ID, o.name())
-		w.to(o.host, w.backedUp(10), func() {
-			if !l.ownerOver {
+		w.record(a.id(), "%s withdraws %s from %s", a.front.name, a.job.ID, o.name())
+		w.deliverTo(o.host, w.streamDelay(10), func() {
+			if !l.ownerClosed {
 				o.withdraw(a.job.ID, a.front, "caller_left")
 			}
 		})
--- a/pkg/cell/explore_host_test.go
+++ b/pkg/cell/explore_host_test.go
@@ -7,47 +7,47 @@
 )
 
 const (
-	lookInterval    = 100 * ms // of looking for silent peers
-	hostStoodStill  = 400 * ms // between two looks, after which a process has stood still
-	pauseAfterStand = 300 * ms // of starts, after it
-	longestLag      = 10 * ms  // until a process that wakes takes messages up
+	peerCheckInterval = 100 * ms // between two checks for unresponsive peers
+	freezeThreshold   = 400 * ms // between two events or checks of a process, above which it has been frozen
+	pauseAfterFreeze  = 300 * ms // of starts, after a freeze
+	maxWakeLag        = 10 * ms  // until a process that wakes handles its messages
 )
 
-// host is a process: a front, and the owner of a cell that it has claimed.
+// host is a process: a front, and the owner of the cells that it has claimed.
 type host struct {
 	modelProcess
-	cluster     *cluster
-	name        string
-	domain      *domain
-	frozenSince time.Duration
-	wakeLag     time.Duration // until it takes up what has come while it stood still
-	owners      []*owner
-	sendings    []*sending // of callers that wait at this front
-	open        []*attempt // what this front waits for
-	links       map[*owner]*link
-	heard       map[*host]time.Duration // when peers were last heard
-	lastLook    time.Duration
-	sureHere    time.Duration // up to which it vouches for its callers at its own cells
-	sureLook    time.Duration // the last look at that
-	phase       time.Duration // of its beats and looks
-	beats       int           // that it has made
+	cluster       *cluster
+	name          string
+	domain        *domain
+	frozenSince   time.Duration
+	wakeLag       time.Duration // from its waking until it handles the messages that came during its freeze
+	owners        []*owner
+	submissions   []*submission // of callers that wait at this front
+	open          []*attempt    // jobs and parts that this front waits for
+	links         map[*owner]*link
+	lastReceived  map[*host]time.Duration // by peer: when its last message was received
+	lastPeerCheck time.Duration
+	confirmedHere time.Duration // the host's own time up to which it confirms that callers of its own cells wait
+	lastConfirm   time.Duration // the last advanceConfirmed
+	phase         time.Duration // of its heartbeats and checks
+	heartbeats    int           // sent so far
 }
 
-// link is the way between a front and an owner on another host.
+// link is the connection between a front and an owner on another host.
 type link struct {
-	front     *host
-	owner     *owner
-	frontOver bool          // the front has given it up, or has learnt of its end
-	ownerOver bool          // the owner has learnt of its end
-	told      time.Duration // the newest time of the owner that the front has heard
-	aging     time.Duration // the same at the last look
-	sure      time.Duration // up to which the front vouches for its callers
+	front             *host
+	owner             *owner
+	frontClosed       bool          // the front has closed it or has learned that it is closed
+	ownerClosed       bool          // the owner has learned that it is closed
+	ownerTime         time.Duration // the newest timestamp of the owner that the front has received
+	previousOwnerTime time.Duration // ownerTime as of the last advanceConfirmed
+	confirmed         time.Duration // the owner's timestamp up to which the front confirms that its callers wait
 }
 
 func (w *cluster) addHost(d *domain) *host {
 	h := &host{
 		cluster: w, name: fmt.Sprintf("%s-%d", d.name, len(w.hosts)+1), domain: d,
-		links: map[*owner]*link{}, heard: map[*host]time.Duration{}, lastLook: w.now, phase: w.between(0, beatInterval),
+		links: map[*owner]*link{}, lastReceived: map[*host]time.Duration{}, lastPeerCheck: w.now, phase: w.between(0, heartbeatInterval),
 	}
 	w.hosts = append(w.hosts, h)
 	return h
@@ -55,34 +55,35 @@
 
 func (h *host) awake() bool { return !h.dead && h.cluster.now >= h.frozen }
 
-// travel is the time of a message between hosts.
-func (w *cluster) travel() time.Duration { return w.between(ms, 4*ms) }
+// networkDelay returns the time that a message between hosts takes.
+func (w *cluster) networkDelay() time.Duration { return w.between(ms, 4*ms) }
 
-// to hands a message to a host. One that stands still takes all up a moment after
-// it wakes, in order unless words stray; one that is dead never does.
-func (w *cluster) to(h *host, d time.Duration, do func()) {
+// deliverTo delivers a message to a host. A frozen host handles its messages shortly
+// after it wakes, in order unless frontMessages faults are on; a crashed one never
+// does.
+func (w *cluster) deliverTo(h *host, d time.Duration, do func()) {
 	w.after(d, func() {
 		switch {
 		case h.dead:
 		case !h.awake():
 			lag := h.wakeLag
-			if w.faults.words {
-				lag = w.between(0, longestLag)
+			if w.faults.frontMessages {
+				lag = w.between(0, maxWakeLag)
 			}
-			w.to(h, h.frozen-w.now+lag, do)
+			w.deliverTo(h, h.frozen-w.now+lag, do)
 		default:
 			do()
 		}
 	})
 }
 
-// linkTo returns the link to an owner, a new one when the last one is over.
+// linkTo returns the open link to an owner, and opens one if there is none.
 func (h *host) linkTo(o *owner) *link {
 	l := h.links[o]
-	if l == nil || l.frontOver {
+	if l == nil || l.frontClosed {
 		l = &link{front: h, owner: o}
 		h.links[o] = l
-		h.heard[o.host] = h.cluster.now
+		h.lastReceived[o.host] = h.cluster.now
 	}
 	return l
 }
@@ -90,69 +91,70 @@
 // reachable reports whether a front may send to an owner.
 func (h *host) reachable(o *owner) bool {
 	l := h.links[o]
-	return l == nil || !l.frontOver || o.host.awake()
+	return l == nil || !l.frontClosed || o.host.awake()
 }
 
-// reset ends a link. Its ends learn of it when the news arrives.
+// reset closes a link. Each end learns of it after a network delay.
 func (l *link) reset() {
 	w := l.front.cluster
-	w.to(l.owner.host, w.travel(), func() { l.owner.linkEnded(l) })
-	w.to(l.front, w.travel(), func() { l.front.linkEnded(l) })
+	w.deliverTo(l.owner.host, w.networkDelay(), func() { l.owner.linkEnded(l) })
+	w.deliverTo(l.front, w.networkDelay(), func() { l.front.linkEnded(l) })
 }
 
-// linkEnded takes the jobs back that are with the owner at the other end.
+// linkEnded handles the end of a link at the front: the jobs that the owner at the
+// other end has are to be handed over anew.
 func (h *host) linkEnded(l *link) {
-	if l.frontOver {
+	if l.frontClosed {
 		return
 	}
-	l.frontOver = true
+	l.frontClosed = true
 	for _, a := range slices.Clone(h.open) {
 		if a.link == l {
-			a.lost()
+			a.ownerLost()
 		}
 	}
 }
 
-// look finds the peers that have been silent for too long. As in pkg/node, a
-// process that has stood still hears them anew first.
-func (h *host) look() {
+// checkPeers abandons peers that have been unresponsive for too long. As in pkg/node,
+// a process that was frozen restarts these timeouts first.
+func (h *host) checkPeers() {
 	now := h.cluster.now
-	if now-h.lastLook > hostStoodStill {
-		for peer := range h.heard {
-			h.heard[peer] = now
+	if now-h.lastPeerCheck > freezeThreshold {
+		for peer := range h.lastReceived {
+			h.lastReceived[peer] = now
 		}
 	}
-	h.lastLook = now
+	h.lastPeerCheck = now
 	for _, o := range h.owners {
-		o.dropSilentFronts()
+		o.dropUnresponsiveFronts()
 	}
 	for _, a := range slices.Clone(h.open) {
-		if l := a.link; l != nil && !l.frontOver && h.takesForSilent(l.owner.host) {
-			h.cluster.note(a.id(), "%s gives %s up as silent", h.name, l.owner.name())
+		if l := a.link; l != nil && !l.frontClosed && h.isUnresponsive(l.owner.host) {
+			h.cluster.record(a.id(), "%s closes its link to unresponsive %s", h.name, l.owner.name())
 			h.linkEnded(l)
 			l.reset()
 		}
 	}
 }
 
-func (h *host) takesForSilent(peer *host) bool {
-	at, known := h.heard[peer]
+func (h *host) isUnresponsive(peer *host) bool {
+	at, known := h.lastReceived[peer]
 	return known && h.cluster.now > at+frontSuspects
 }
 
-// die ends a host. Peers learn of it at once, unless its machine has gone with it.
-// Callers learn of it at once. There may be no host left to die.
-func (w *cluster) die(h *host, silently bool) {
+// crashHost ends a host, if there is one. Its callers' connections break at once. Its
+// peers learn of the crash at once, unless its links stay up.
+func (w *cluster) crashHost(h *host, linksStayUp bool) {
 	if h == nil || h.dead {
 		return
 	}
-	w.note("", "%s dies, silently %t", h.name, silently)
+	w.record("", "%s crashes, links stay up: %t", h.name, linksStayUp)
 	h.dead = true
-	if !silently {
+	if !linksStayUp {
 		w.resetLinksOf(h)
 	}
-	for _, s := range h.sendings {
-		s.breakOff()
+	for _, s := range h.submissions {
+		s.disconnect()
 	}
 	if former := h.domain.newest(); former.host == h {
 		w.after(w.between(100*ms, 900*ms), func() { w.claim(h.domain, former) })
@@ -160,7 +162,7 @@
 	w.after(hostRestart, func() { w.addHost(h.domain) })
 }
 
-// resetLinksOf has all that hold links to a dead host learn of its end.
+// resetLinksOf closes all links of a crashed host.
 func (w *cluster) resetLinksOf(h *host) {
 	for _, d := range w.domains {
 		for _, o := range d.owners {
@@ -173,19 +175,20 @@
 	}
 }
 
-// freeze has a host stand still. When that lasts, another one claims its cell.
+// freeze freezes a host. If it owns a cell and stays frozen for longer than
+// frontSuspects, another host claims the cell.
 func (w *cluster) freeze(h *host, d time.Duration) {
 	if !h.awake() {
 		return
 	}
-	w.note("", "%s stands still for %s", h.name, d)
-	h.frozen, h.frozenSince, h.wakeLag = w.now+d, w.now, w.between(0, longestLag)
+	w.record("", "%s freezes for %s", h.name, d)
+	h.frozen, h.frozenSince, h.wakeLag = w.now+d, w.now, w.between(0, maxWakeLag)
 	former := h.domain.newest()
 	if former.host != h {
 		return
 	}
 	since := w.now
-	w.after(frontSuspects+w.between(0, lookInterval), func() {
+	w.after(frontSuspects+w.between(0, peerCheckInterval), func() {
 		if !h.awake() && h.frozenSince == since {
 			w.claim(h.domain, former)
 		}
--- a/pkg/cell/explore_kept_test.go
+++ b/pkg/cell/explore_kept_test.go
@@ -13,15 +13,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// This explorer plays kept jobs, beside others: a table that loses nothing, keepers
-// that die and read it again, owners that die at any moment, stand still, wake and
-// give their cell up, and orders that are lost or carried out late. What has ended
-// at an executor and was noted must be known for good to whoever owns the cell.
+// This explorer simulates kept jobs beside other jobs: a durable table, coordinators
+// that crash and are replaced by ones that read the table, owners that crash at any
+// event, freeze, wake and release their cell, and commands that are lost or carried
+// out late. An end that an executor has forgotten must be known to every later owner
+// of the cell.
 
 const (
-	keptArrivals = 10 * time.Second // no new jobs later
-	keptTime     = 40 * time.Second
-	keeperGone   = 1500 * ms // until another keeper has read the table
+	keptArrivals         = 10 * time.Second // no new jobs later
+	keptTime             = 40 * time.Second
+	maxCoordinatorOutage = 1500 * ms // until another coordinator has read the table
 )
 
 // keptRow is a job in the table.
@@ -32,42 +33,43 @@
 	state    job.Kind
 }
 
-// keptWorld is one play.
+// keptWorld is the state of one simulation.
 type keptWorld struct {
 	orders
-	owners []*keptOwner
-	rows   map[string]*keptRow
-	keeper *keeper
-	starts map[string]int               // by task
-	done   map[string]bool              // tasks that have ended well, as executors know
-	failed map[string][]int             // by task: the starts before each noted failure
-	before map[string]map[int64]keptEnd // by executor and number of the end
-	broken []string
-	deaths int
-	events int
-	dieAt  int  // the newest owner dies at that event; 0 for none
-	byStep bool // and there is no other trouble
-	quiet  bool
-}
-
-// keptEnd is the end of a run as it was.
+	owners         []*keptOwner
+	rows           map[string]*keptRow
+	coordinator    *coordinator
+	starts         map[string]int               // by task
+	done           map[string]bool              // tasks that completed at an executor
+	forgottenAt    map[string][]int             // by task: how often it had started at each forgotten failure; with the suffix " done", at its forgotten success
+	ends           map[string]map[int64]keptEnd // by executor and number of the end
+	violations     []string
+	ownerCrashes   int
+	events         int
+	crashAt        int  // the newest owner crashes at that event; 0 for none
+	onlyOwnerCrash bool // no other faults are injected
+	faultsStopped  bool
+}
+
+// keptEnd is the state at the end of a run: the starts of its task, and the lease
+// expirations at its executor.
 type keptEnd struct {
 	starts int
 	lapses int
 }
 
-// keptOwner is an owner of the cell and what its host keeps beside.
+// keptOwner is an owner of the cell and the state of its host.
 type keptOwner struct {
 	modelProcess
 	world   *keptWorld
 	cell    *Cell
-	waiters map[string]*keeper
+	waiters map[string]*coordinator
 	ended   map[string]job.Outcome
 	lastRun time.Duration
 }
 
-// keeper follows all open jobs.
-type keeper struct {
+// coordinator follows all open jobs.
+type coordinator struct {
 	world *keptWorld
 	dead  bool
 	epoch map[string]int
@@ -77,23 +79,23 @@
 func newKeptWorld(seed uint64) *keptWorld {
 	w := &keptWorld{
 		rows: map[string]*keptRow{}, starts: map[string]int{}, done: map[string]bool{},
-		failed: map[string][]int{}, before: map[string]map[int64]keptEnd{},
+		forgottenAt: map[string][]int{}, ends: map[string]map[int64]keptEnd{},
 	}
 	w.random = rand.New(rand.NewPCG(seed, 3))
-	w.lasts = w.runLasts
+	w.lasts = w.drawRun
 	for i := range 4 {
 		e := newModelExecutor(i, 1-maxClockDrift*w.random.Float64())
-		e.onEnd, e.onNoted = w.runEnded, w.endNoted
-		w.before[e.id] = map[int64]keptEnd{}
+		e.onEnd, e.onForget = w.runEnded, w.endForgotten
+		w.ends[e.id] = map[int64]keptEnd{}
 		w.executors = append(w.executors, e)
 	}
 	w.newOwner()
-	w.keeper = w.newKeeper()
+	w.coordinator = w.newCoordinator()
 	return w
 }
 
-// runLasts notes the start of a task and draws how it goes.
-func (w *keptWorld) runLasts(task string) (time.Duration, EndKind) {
+// drawRun records the start of a task and draws the duration and the end of its run.
+func (w *keptWorld) drawRun(task string) (time.Duration, EndKind) {
 	w.starts[task]++
 	w.checkStart(task)
 	if w.oneIn(8) {
@@ -102,60 +104,62 @@
 	return w.between(20*ms, 600*ms), EndDone
 }
 
-// checkStart checks that a task's turn has come.
+// checkStart checks that the tasks that a task depends on are done, and that its job,
+// if kept, isn't shown as completed.
 func (w *keptWorld) checkStart(task string) {
 	id, key, _ := parseTaskName(task)
 	row := w.rows[id]
 	if row.ended && row.job.Kept && row.state == job.Completed {
-		w.breakRule("%s starts after its job was shown as completed", task)
+		w.recordViolation("%s started after its job was shown as completed", task)
 	}
 	for _, earlier := range row.job.Steps[key.Step].After {
 		for i := range row.job.Steps[earlier].Count {
 			if name := row.job.TaskName(job.TaskKey{Step: earlier, Index: i}); !w.done[name] {
-				w.breakRule("%s starts before %s is done", task, name)
+				w.recordViolation("%s started before %s was done", task, name)
 			}
 		}
 	}
 }
 
-func (w *keptWorld) breakRule(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf(format, args...)+" at "+w.now.String())
+func (w *keptWorld) recordViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...)+" at "+w.now.String())
 }
 
 func (w *keptWorld) runEnded(e *modelExecutor, end EndedTask) {
 	if end.Kind == EndDone {
 		w.done[end.Task] = true
 	}
-	w.before[e.id][end.Number] = keptEnd{starts: w.starts[end.Task], lapses: e.lapses}
+	w.ends[e.id][end.Number] = keptEnd{starts: w.starts[end.Task], lapses: e.lapseCount}
 }
 
-// endNoted takes that an executor may forget an end: it stands for good, unless all
-// leases there have ended meanwhile.
-func (w *keptWorld) endNoted(e *modelExecutor, end EndedTask) {
+// endForgotten records that an executor forgets an end of a kept job. The end is
+// final, unless all leases there have expired since.
+func (w *keptWorld) endForgotten(e *modelExecutor, end EndedTask) {
 	id, _, _ := parseTaskName(end.Task)
-	was := w.before[e.id][end.Number]
+	atEnd := w.ends[e.id][end.Number]
 	row := w.rows[id]
-	if was.lapses != e.lapses || !row.job.Kept {
+	if atEnd.lapses != e.lapseCount || !row.job.Kept {
 		return
 	}
 	switch end.Kind {
 	case EndDone:
-		w.failed[end.Task+" done"] = []int{was.starts}
+		w.forgottenAt[end.Task+" done"] = []int{atEnd.starts}
 	case EndFailed:
-		w.failed[end.Task] = append(w.failed[end.Task], was.starts)
+		w.forgottenAt[end.Task] = append(w.forgottenAt[end.Task], atEnd.starts)
 	}
 }
 
-// checkNoted checks that no task has started after what was noted of it.
-func (w *keptWorld) checkNoted() {
+// checkForgottenEnds checks that no task started again after its forgotten success or
+// last allowed failure.
+func (w *keptWorld) checkForgottenEnds() {
 	for _, task := range slices.Sorted(maps.Keys(w.starts)) {
 		id, _, _ := parseTaskName(task)
-		if done, ok := w.failed[task+" done"]; ok && w.starts[task] > done[0] {
-			w.breakRule("%s started again after its noted end", task)
+		if done, ok := w.forgottenAt[task+" done"]; ok && w.starts[task] > done[0] {
+			w.recordViolation("%s started again after its forgotten success", task)
 		}
-		failed := slices.Sorted(slices.Values(w.failed[task]))
+		failed := slices.Sorted(slices.Values(w.forgottenAt[task]))
 		if most := w.rows[id].job.MaxAttempts; len(failed) >= most && w.starts[task] > failed[most-1] {
-			w.breakRule("%s started again after %d noted failures", task, most)
+			w.recordViolation("%s started again after %d forgotten failures", task, most)
 		}
 	}
 }
@@ -165,7 +169,7 @@
 	token := int64(len(w.owners) + 1)
 	o := &keptOwner{
 		world: w, cell: New(DefaultParams(time.Second, testJobLease, 50*ms), token, w.now),
-		waiters: map[string]*keeper{}, ended: map[string]job.Outcome{}, lastRun: w.now,
+		waiters: map[string]*coordinator{}, ended: map[string]job.Outcome{}, lastRun: w.now,
 	}
 	w.owners = append(w.owners, o)
 	var listed []catalog.Executor
@@ -190,13 +194,13 @@
 	if o.dead {
 		return
 	}
-	if w.now-o.lastRun > hostStoodStill {
-		o.cell.Pause(w.now + pauseAfterStand)
+	if w.now-o.lastRun > freezeThreshold {
+		o.cell.Pause(w.now + pauseAfterFreeze)
 	}
 	o.lastRun = w.now
 	event()
 	w.events++
-	dies := o == w.newest() && w.events == w.dieAt
+	crashes := o == w.newest() && w.events == w.crashAt
 	commands, finished, _ := o.cell.TakeActions()
 	for _, command := range commands {
 		w.send(o, command)
@@ -208,22 +212,22 @@
 		if k := o.waiters[f.ID]; k != nil {
 			delete(o.waiters, f.ID)
 			outcome := f.Outcome
-			w.after(ms, func() { k.take(o, f.ID, outcome) })
+			w.after(ms, func() { k.handleOutcome(o, f.ID, outcome) })
 		}
 	}
-	if dies {
-		w.dieAt = 0
-		w.die(o)
+	if crashes {
+		w.crashAt = 0
+		w.crashOwner(o)
 	}
 }
 
-// die ends the host of an owner, half of the time that of the keeper with it, and
-// has another one claim the cell.
-func (w *keptWorld) die(o *keptOwner) {
-	w.deaths++
+// crashOwner ends the host of an owner, half of the time together with the
+// coordinator, and has another host claim the cell.
+func (w *keptWorld) crashOwner(o *keptOwner) {
+	w.ownerCrashes++
 	o.dead = true
 	if w.oneIn(2) {
-		w.loseKeeper()
+		w.crashCoordinator()
 	}
 	w.after(w.between(100*ms, 700*ms), func() {
 		if w.newest() == o {
@@ -232,32 +236,34 @@
 	})
 }
 
-// replace has another host claim the cell, and the keeper hand it its jobs.
+// replace has another host claim the cell, and the coordinator hand its jobs over to
+// it.
 func (w *keptWorld) replace(former *keptOwner) {
 	w.newOwner()
-	w.keeper.ownerLost(former)
+	w.coordinator.ownerLost(former)
 }
 
-// freeze has an owner stand still. Nobody waits at it any more when it wakes late.
+// freeze freezes an owner. If it stays frozen for longer than frontSuspects, it loses
+// its waiters and its cell.
 func (w *keptWorld) freeze(o *keptOwner) {
 	o.frozen = w.now + w.between(0, 4*time.Second)
 	w.after(frontSuspects, func() {
 		if w.now >= o.frozen || o.dead {
 			return
 		}
-		o.waiters = map[string]*keeper{}
+		o.waiters = map[string]*coordinator{}
 		if w.newest() == o {
 			w.replace(o)
 		}
 	})
 }
 
-// cutOff has all other hosts lose sight of an owner that goes on.
-func (w *keptWorld) cutOff(o *keptOwner) {
+// isolateOwner makes a running owner unreachable to all other hosts.
+func (w *keptWorld) isolateOwner(o *keptOwner) {
 	if o.dead {
 		return
 	}
-	o.waiters = map[string]*keeper{}
+	o.waiters = map[string]*coordinator{}
 	w.after(frontSuspects, func() {
 		if w.newest() == o {
 			w.replace(o)
@@ -265,23 +271,23 @@
 	})
 }
 
-// loseKeeper has the keeper die, and another one read the table later.
-func (w *keptWorld) loseKeeper() {
-	k := w.keeper
+// crashCoordinator ends the coordinator, and has another one read the table later.
+func (w *keptWorld) crashCoordinator() {
+	k := w.coordinator
 	k.dead = true
 	for _, o := range w.owners {
-		o.waiters = map[string]*keeper{}
+		o.waiters = map[string]*coordinator{}
 	}
-	w.after(w.between(300*ms, keeperGone), func() {
-		if w.keeper == k {
-			w.keeper = w.newKeeper()
+	w.after(w.between(300*ms, maxCoordinatorOutage), func() {
+		if w.coordinator == k {
+			w.coordinator = w.newCoordinator()
 		}
 	})
 }
 
-// newKeeper makes one that reads the table.
-func (w *keptWorld) newKeeper() *keeper {
-	k := &keeper{world: w, epoch: map[string]int{}, owner: map[string]*keptOwner{}}
+// newCoordinator returns one that has read the table.
+func (w *keptWorld) newCoordinator() *coordinator {
+	k := &coordinator{world: w, epoch: map[string]int{}, owner: map[string]*keptOwner{}}
 	for _, id := range slices.Sorted(maps.Keys(w.rows)) {
 		if row := w.rows[id]; !row.ended && row.job.Kept {
 			k.epoch[id] = 2 + int((w.now-row.accepted)/(100*ms))
@@ -291,22 +297,22 @@
 	return k
 }
 
-// ownerLost hands the jobs of an owner to the next.
-func (k *keeper) ownerLost(former *keptOwner) {
+// ownerLost hands the jobs of a lost owner to the newest one.
+func (k *coordinator) ownerLost(former *keptOwner) {
 	for _, id := range slices.Sorted(maps.Keys(k.owner)) {
 		if k.owner[id] == former {
-			k.handOn(id, nil)
+			k.redispatch(id, nil)
 		}
 	}
 }
 
-func (k *keeper) handOn(id string, progress []job.Progress) {
+func (k *coordinator) redispatch(id string, progress []job.Progress) {
 	k.epoch[id]++
 	k.dispatch(id, progress)
 }
 
 // dispatch hands a job to the newest owner.
-func (k *keeper) dispatch(id string, progress []job.Progress) {
+func (k *coordinator) dispatch(id string, progress []job.Progress) {
 	w := k.world
 	o := w.newest()
 	k.owner[id] = o
@@ -316,11 +322,11 @@
 			return
 		}
 		if o.cell.Fenced() {
-			w.after(20*ms, func() { k.take(o, id, job.Outcome{Kind: job.Moved, Reason: "not_owner"}) })
+			w.after(20*ms, func() { k.handleOutcome(o, id, job.Outcome{Kind: job.Moved, Reason: "not_owner"}) })
 			return
 		}
 		if outcome, ok := o.ended[id]; ok {
-			w.after(ms, func() { k.take(o, id, outcome) })
+			w.after(ms, func() { k.handleOutcome(o, id, outcome) })
 			return
 		}
 		o.waiters[id] = k
@@ -329,28 +335,29 @@
 	if o.dead {
 		w.after(frontSuspects, func() {
 			if !k.dead && k.owner[id] == o && w.newest() != o {
-				k.handOn(id, nil)
+				k.redispatch(id, nil)
 			}
 		})
 	}
 }
 
-// take takes the end of a job at an owner.
-func (k *keeper) take(o *keptOwner, id string, outcome job.Outcome) {
+// handleOutcome handles the outcome of a job at an owner.
+func (k *coordinator) handleOutcome(o *keptOwner, id string, outcome job.Outcome) {
 	w := k.world
 	if k.dead || k.owner[id] != o {
 		return
 	}
 	if outcome.Kind == job.Moved {
-		k.handOn(id, outcome.Progress)
+		k.redispatch(id, outcome.Progress)
 		return
 	}
 	delete(k.owner, id)
 	w.after(w.between(5*ms, 400*ms), func() { k.commit(o, id, outcome) })
 }
 
-// commit writes the end of a job and tells the owner. Now and then the word is lost.
-func (k *keeper) commit(o *keptOwner, id string, outcome job.Outcome) {
+// commit writes the outcome of a job to the table and notifies the owner. One
+// notification in ten is lost.
+func (k *coordinator) commit(o *keptOwner, id string, outcome job.Outcome) {
 	w := k.world
 	row := w.rows[id]
 	if k.dead {
@@ -367,7 +374,7 @@
 	})
 }
 
-// checkEnd checks that a job has ended as it is shown to its caller.
+// checkEnd checks that all tasks of a job that its caller sees as completed are done.
 func (w *keptWorld) checkEnd(row *keptRow) {
 	if row.state != job.Completed {
 		return
@@ -375,14 +382,14 @@
 	for step := range row.job.Steps {
 		for i := range row.job.Steps[step].Count {
 			if name := row.job.TaskName(job.TaskKey{Step: step, Index: i}); !w.done[name] {
-				w.breakRule("%s is completed though %s isn't done", row.job.ID, name)
+				w.recordViolation("%s is completed though %s isn't done", row.job.ID, name)
 			}
 		}
 	}
 }
 
-// ask has the keeper ask for its jobs again.
-func (w *keptWorld) ask() {
+// renewJobs has the coordinators renew their jobs at the owners.
+func (w *keptWorld) renewJobs() {
 	if w.now%(100*ms) != 0 {
 		return
 	}
@@ -400,7 +407,7 @@
 	}
 }
 
-// arrive hands a job in: a kept one, or now and then another one beside.
+// arrive submits a job, three times in four a kept one.
 func (w *keptWorld) arrive() {
 	id := fmt.Sprintf("job%d", len(w.rows)+1)
 	j := keptJob(id, 1+w.random.IntN(3), w.now)
@@ -414,16 +421,16 @@
 		j.Kept, j.Deadline = false, w.now+5*time.Second
 	}
 	w.rows[id] = &keptRow{job: j, accepted: w.now}
-	if w.keeper.dead {
-		return // the next keeper finds it, if it is kept
+	if w.coordinator.dead {
+		return // the next coordinator reads it from the table, if it is kept
 	}
-	w.keeper.epoch[id] = 1
-	w.keeper.dispatch(id, nil)
+	w.coordinator.epoch[id] = 1
+	w.coordinator.dispatch(id, nil)
 }
 
-// trouble brings a fault now and then.
-func (w *keptWorld) trouble() {
-	if w.byStep || w.quiet {
+// injectFault injects a random fault in some steps.
+func (w *keptWorld) injectFault() {
+	if w.onlyOwnerCrash || w.faultsStopped {
 		return
 	}
 	o := w.newest()
@@ -434,38 +441,38 @@
 		w.after(w.between(0, 3*time.Second), func() { e.cut = false })
 	case 2:
 		if !o.dead {
-			w.replaceAsPlanned(o)
+			w.takeOverGracefully(o)
 		}
 	case 3:
 		w.freeze(o)
 	case 4:
 		if !o.dead {
-			w.die(o)
+			w.crashOwner(o)
 		}
 	case 5:
-		w.loseKeeper()
+		w.crashCoordinator()
 	case 6:
-		w.cutOff(o)
+		w.isolateOwner(o)
 	}
 }
 
-// replaceAsPlanned has another host claim the cell and the former owner give it up.
-func (w *keptWorld) replaceAsPlanned(former *keptOwner) {
+// takeOverGracefully has another host claim the cell and the former owner release it.
+func (w *keptWorld) takeOverGracefully(former *keptOwner) {
 	w.newOwner()
 	w.deliver(former, 20*ms, func() { former.cell.Release("taken over") })
-	w.after(2*frontSuspects, func() { w.keeper.ownerLost(former) }) // if it didn't come to it
+	w.after(2*frontSuspects, func() { w.coordinator.ownerLost(former) }) // in case the release didn't reach the former owner
 }
 
-// play runs to the end, or until all jobs have ended.
-func (w *keptWorld) play() {
+// run runs the simulation until all kept jobs have ended, or to its end.
+func (w *keptWorld) run() {
 	for w.now < keptTime && len(w.doubles) == 0 {
 		w.now += exploreStep
 		if w.now < keptArrivals && w.oneIn(30) {
 			w.arrive()
 		}
-		w.quiet = w.now > keptArrivals+10*time.Second
-		w.trouble()
-		w.ask()
+		w.faultsStopped = w.now > keptArrivals+10*time.Second
+		w.injectFault()
+		w.renewJobs()
 		w.fire()
 		for _, o := range w.owners {
 			if !o.dead && w.now >= o.frozen {
@@ -476,11 +483,11 @@
 			break
 		}
 	}
-	w.checkNoted()
-	w.broken = append(w.broken, w.doubles...)
+	w.checkForgottenEnds()
+	w.violations = append(w.violations, w.doubles...)
 	for _, id := range slices.Sorted(maps.Keys(w.rows)) {
 		if row := w.rows[id]; row.job.Kept && !row.ended {
-			w.breakRule("%s hasn't ended", id)
+			w.recordViolation("%s hasn't ended", id)
 		}
 	}
 }
@@ -494,52 +501,55 @@
 	return true
 }
 
+// Guards against kept jobs that don't end, end wrongly or repeat final tasks when
+// owners and coordinators fail.
 func TestExploredKeptJobsEndOnce(t *testing.T) {
 	type scenario struct {
 		testName string
 		plays    int
-		fates    fates
+		rates    faultRates
 	}
 	scenarios := []scenario{
-		{testName: "orders are lost", plays: 100},
-		{testName: "answers don't say whether orders were carried out", plays: 30, fates: unclearOrders},
+		{testName: "commands are lost", plays: 100},
+		{testName: "answers don't say whether commands were carried out", plays: 30, rates: unclearAnswerRates},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			plays := s.plays * max(usualPlays, *explorePlays) / usualPlays
+			plays := s.plays * max(defaultPlays, *explorePlays) / defaultPlays
 			c := qt.New(t)
-			ended, deaths := 0, 0
+			ended, crashes := 0, 0
 			var failed []string
 			for seed := range uint64(plays) {
 				w := newKeptWorld(seed)
-				w.fates = s.fates
-				w.play()
-				deaths += w.deaths
+				w.rates = s.rates
+				w.run()
+				crashes += w.ownerCrashes
 				ended += len(w.rows)
-				if len(w.broken) > 0 {
-					failed = append(failed, fmt.Sprintf("seed %d: %s", seed, w.broken[0]))
+				if len(w.violations) > 0 {
+					failed = append(failed, fmt.Sprintf("seed %d: %s", seed, w.violations[0]))
 				}
 			}
-			t.Logf("%d plays, %d jobs, %d owners died", plays, ended, deaths)
+			t.Logf("%d simulations, %d jobs, %d owners crashed", plays, ended, crashes)
 			c.Assert(failed, qt.HasLen, 0)
 			c.Assert(ended > 40*plays, qt.IsTrue)
-			c.Assert(deaths > plays, qt.IsTrue)
+			c.Assert(crashes > plays, qt.IsTrue)
 		})
 	}
 }
 
-// The owner dies at each of its events in turn.
+// Guards against kept jobs that are lost or run twice if their owner crashes at any
+// one of its events.
 func TestExploredKeptJobsOutliveTheirOwnerAtEveryStep(t *testing.T) {
 	const steps = 250
 	c := qt.New(t)
 	var failed []string
 	for step := range steps {
 		w := newKeptWorld(uint64(step % 7))
-		w.byStep, w.calm, w.dieAt = true, true, w.events+1+step*5
-		w.play()
-		c.Assert(w.deaths, qt.Equals, 1)
-		if len(w.broken) > 0 {
-			failed = append(failed, fmt.Sprintf("step %d: %s", step, w.broken[0]))
+		w.onlyOwnerCrash, w.calm, w.crashAt = true, true, w.events+1+step*5
+		w.run()
+		c.Assert(w.ownerCrashes, qt.Equals, 1)
+		if len(w.violations) > 0 {
+			failed = append(failed, fmt.Sprintf("step %d: %s", step, w.violations[0]))
 		}
 	}
 	c.Assert(failed, qt.HasLen, 0)
--- a/pkg/cell/explore_orders_test.go
+++ b/pkg/cell/explore_orders_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// timeline is simulated time, and what is to happen in it.
+// timeline is simulated time and its scheduled events.
 type timeline struct {
 	random *rand.Rand
 	now    time.Duration
 	later  []event
-	spare  []event // room for the next list
+	buffer []event // reused for the next list
 }
 
 type event struct {
@@ -23,18 +23,18 @@
 	t.later = append(t.later, event{at: t.now + d, do: do})
 }
 
-// between returns a random time of whole milliseconds, most excluded.
-func (t *timeline) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(t.random.IntN(int((most-least)/ms)))*ms
+// between returns a random time of whole milliseconds, with most excluded.
+func (t *timeline) between(from, limit time.Duration) time.Duration {
+	return from + time.Duration(t.random.IntN(int((limit-from)/ms)))*ms
 }
 
-// oneIn reports true once in so many times.
+// oneIn returns true with a probability of 1/count.
 func (t *timeline) oneIn(count int) bool { return t.random.IntN(count) == 0 }
 
-// fire does what is due.
+// fire runs the events that are due.
 func (t *timeline) fire() {
 	due := t.later
-	t.later = t.spare[:0]
+	t.later = t.buffer[:0]
 	for _, e := range due {
 		if e.at <= t.now {
 			e.do()
@@ -43,32 +43,32 @@
 		}
 	}
 	clear(due)
-	t.spare = due
+	t.buffer = due
 }
 
-// modelProcess is one that may stand still or be gone.
+// modelProcess is a process that may freeze or crash.
 type modelProcess struct {
-	frozen time.Duration // stands still until then
+	frozen time.Duration // until this time
 	dead   bool
 }
 
-// orderer is an owner as its orders see it.
+// orderer is an owner as its commands' transport sees it.
 type orderer interface {
 	state() *Cell
 	process() *modelProcess
-	// handle feeds an event into the cell and carries out what comes of it.
+	// handle feeds an event into the cell and carries out the resulting actions.
 	handle(event func())
 }
 
-// orders is the way between owners and model executors. Orders are lost, late,
-// answered by silence, or carried out seconds later; not where it is calm.
+// orders is the transport between owners and model executors. Unless calm, it loses,
+// delays or leaves unanswered some commands, or carries them out seconds later.
 type orders struct {
 	timeline
 	executors []*modelExecutor
 	calm      bool
-	fates     fates // of orders; the usual ones when there is no word on them
+	rates     faultRates // of faults; defaultRates if empty
 	doubles   []string
-	lasts     func(task string) (time.Duration, EndKind) // how a run goes
+	lasts     func(task string) (time.Duration, EndKind) // draws the duration and the end of a run
 }
 
 func (w *orders) executor(id string) *modelExecutor {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// deliver hands an event to an owner once it is awake.
+// deliver delivers an event to an owner, once it is awake.
 func (w *orders) deliver(o orderer, d time.Duration, event func()) {
 	w.after(d, func() {
 		p := o.process()
@@ -94,32 +94,32 @@
 	})
 }
 
-// fates are how many of a hundred orders meet with each trouble.
-type fates struct {
+// faultRates are how many of a hundred commands each fault affects.
+type faultRates struct {
 	lost       int // never carried out
 	delayed    int // carried out seconds later, and not answered
 	answerLost int
 	slow       int // carried out or answered late
-	unclear    int // answered at once by nothing that says whether they were carried out
+	unclear    int // answered at once without saying whether they were carried out
 }
 
-// usualFates are those of a play without a word on them.
-var usualFates = fates{lost: 3, delayed: 3, answerLost: 3, slow: 6}
+// defaultRates apply if a simulation sets none.
+var defaultRates = faultRates{lost: 3, delayed: 3, answerLost: 3, slow: 6}
 
-// lateOrders are those of a window in which a fifth of all orders gets no answer and is
-// carried out 2 to 10 s later.
-var lateOrders = fates{delayed: 20, slow: 6}
+// lateCommandRates leave a fifth of all commands unanswered and carry them out seconds
+// later.
+var lateCommandRates = faultRates{delayed: 20, slow: 6}
 
-// slowOrders are those of full links: copies of a start come before and after its
-// deadline.
-var slowOrders = fates{lost: 3, slow: 50}
+// slowCommandRates are those of congested links, where copies of a start arrive both
+// before and after its deadline.
+var slowCommandRates = faultRates{lost: 3, slow: 50}
 
-// unclearOrders are those of executors that answer one order in eight by an error that the
-// protocol doesn't name.
-var unclearOrders = fates{lost: 3, delayed: 3, slow: 6, unclear: 12}
+// unclearAnswerRates have one command in eight answered by an error that the protocol
+// doesn't define.
+var unclearAnswerRates = faultRates{lost: 3, delayed: 3, slow: 6, unclear: 12}
 
-// modelCall is an order on its way, as pkg/node follows it: it is called overdue, and
-// listened to for some time more.
+// modelCall is a command in flight as pkg/node follows it: it becomes overdue, and its
+// answer is awaited for orderListening after that.
 type modelCall struct {
 	owner   orderer
 	command Command
@@ -131,58 +131,59 @@
 func (w *orders) send(o orderer, command Command) {
 	e := w.executor(command.Executor.ID)
 	call := &modelCall{owner: o, command: command, sentAt: w.now}
-	inTime := w.between(20*ms, 40*ms)
+	timeout := w.between(20*ms, 40*ms)
 	if command.Kind == Hold {
-		inTime += command.Wait
+		timeout += command.Wait
 	}
-	w.deliver(o, inTime, func() { w.becomeOverdue(call) })
-	w.deliver(o, inTime+orderListening, func() { w.answer(call, Unanswered, HoldResponse{Verdict: Unanswered}) })
-	w.meetFate(e, call)
+	w.deliver(o, timeout, func() { w.becomeOverdue(call) })
+	w.deliver(o, timeout+orderListening, func() { w.answer(call, Unanswered, HoldResponse{Verdict: Unanswered}) })
+	w.transmit(e, call)
 }
 
-// meetFate decides what becomes of an order.
-func (w *orders) meetFate(e *modelExecutor, call *modelCall) {
+// transmit draws the fault that a command meets and schedules its execution and its
+// answer.
+func (w *orders) transmit(e *modelExecutor, call *modelCall) {
 	travel := time.Duration(w.random.IntN(3)) * ms
-	fate := w.random.IntN(100)
+	draw := w.random.IntN(100)
 	if e.cut {
 		return
 	}
 	if w.calm {
-		travel, fate = ms, 100
+		travel, draw = ms, 100
 	}
-	f := w.fates
-	if f == (fates{}) {
-		f = usualFates
+	f := w.rates
+	if f == (faultRates{}) {
+		f = defaultRates
 	}
-	fate -= f.lost
-	if fate < 0 {
+	draw -= f.lost
+	if draw < 0 {
 		return
 	}
-	fate -= f.delayed
-	if fate < 0 {
-		born := e.born
+	draw -= f.delayed
+	if draw < 0 {
+		incarnation := e.startedAt
 		w.after(2*time.Second+time.Duration(w.random.IntN(8000))*ms, func() {
-			if e.born == born { // else it has died with the life that had it
+			if e.startedAt == incarnation { // the incarnation that received the command is still alive
 				w.carryOut(e, call.command)
 			}
 		})
 		return
 	}
-	fate -= f.answerLost
-	if fate < 0 {
+	draw -= f.answerLost
+	if draw < 0 {
 		w.after(travel, func() { w.carryOut(e, call.command) })
 		return
 	}
-	if e.misanswers {
+	if e.answersUnclear {
 		f.unclear = 100
 	}
-	fate -= f.unclear
-	if fate < 0 {
-		w.after(travel, func() { w.misanswer(e, call) })
+	draw -= f.unclear
+	if draw < 0 {
+		w.after(travel, func() { w.serveUnclear(e, call) })
 		return
 	}
 	back := ms
-	if fate < f.slow {
+	if draw < f.slow {
 		travel, back = w.between(0, 400*ms), w.between(ms, 200*ms)
 	}
 	w.after(travel, func() {
@@ -192,26 +193,26 @@
 	})
 }
 
-// misanswer answers an order at once by nothing that says whether it was carried out:
-// three in four were, and one in eight is later.
-func (w *orders) misanswer(e *modelExecutor, call *modelCall) {
-	switch lot := w.random.IntN(8); {
-	case lot < 6:
+// serveUnclear answers a command at once without saying whether it was carried out.
+// Six commands in eight are carried out at once, one later, and one never.
+func (w *orders) serveUnclear(e *modelExecutor, call *modelCall) {
+	switch draw := w.random.IntN(8); {
+	case draw < 6:
 		w.carryOut(e, call.command)
-	case lot == 6:
+	case draw == 6:
 		w.after(w.between(0, 2*time.Second), func() { w.carryOut(e, call.command) })
 	}
 	w.deliver(call.owner, ms, func() { w.answer(call, Unclear, HoldResponse{Verdict: Unclear}) })
 }
 
-// serve carries an order out and answers it; a hold waits for an end.
+// serve carries a command out and answers it. A hold waits for the end of a run.
 func (w *orders) serve(e *modelExecutor, call *modelCall, back time.Duration) {
 	verdict := Unhealthy
 	if !e.refuses {
 		verdict = w.carryOut(e, call.command)
 	}
 	answer := HoldResponse{Verdict: verdict, Clock: e.clock(w.now)}
-	if call.command.Kind == Hold && call.command.Executor.IsOtherIncarnation(e.born) {
+	if call.command.Kind == Hold && call.command.Executor.IsOtherIncarnation(e.startedAt) {
 		verdict = verdict.FromOtherIncarnation()
 		answer.Verdict = verdict
 	}
@@ -223,8 +224,8 @@
 }
 
 func (w *orders) reportHold(e *modelExecutor, call *modelCall, back, until time.Duration) {
-	if call.command.Executor.IsOtherIncarnation(e.born) {
-		return // its connection has ended with the life that it was for
+	if call.command.Executor.IsOtherIncarnation(e.startedAt) {
+		return // the connection ended with the incarnation that the command was for
 	}
 	e.pass(w.now)
 	ended := e.ends()
@@ -233,14 +234,14 @@
 		return
 	}
 	answer := HoldResponse{Clock: e.clock(w.now), Running: e.running(), Ended: ended}
-	if e.hides {
+	if e.hidesRuns {
 		answer.UnreadableRuns = max(1, len(answer.Running))
 		answer.Running = nil
 	}
 	w.deliver(call.owner, back, func() { w.answer(call, Accepted, answer) })
 }
 
-// becomeOverdue tells the owner that a call hasn't been answered in time.
+// becomeOverdue reports to the owner that a call wasn't answered in time.
 func (w *orders) becomeOverdue(call *modelCall) {
 	if call.over {
 		return
@@ -257,7 +258,7 @@
 	}
 }
 
-// answer tells the owner the end of a call.
+// answer reports the result of a call to the owner.
 func (w *orders) answer(call *modelCall, verdict Verdict, hold HoldResponse) {
 	if call.over {
 		return
@@ -278,7 +279,8 @@
 	}
 }
 
-// carryOut has an executor obey, and notes a start of a task that runs elsewhere.
+// carryOut applies a command at an executor, and records a double run if it starts a
+// task that already runs at an executor.
 func (w *orders) carryOut(e *modelExecutor, command Command) Verdict {
 	return e.obey(command, func() (time.Duration, EndKind) {
 		for _, other := range w.executors {
