--- a/pkg/keeping/end_notices.go
+++ b/pkg/keeping/end_notices.go
@@ -18,8 +18,9 @@
 	slot time.Duration
 }
 
+// noticeGroup are the ends that are sent in one notice.
 type noticeGroup struct {
-	due time.Duration
+	due time.Duration // the latest of the earliest times of its ends
 	ids []string
 }
 
--- a/pkg/keeping/ended.go
+++ b/pkg/keeping/ended.go
@@ -60,6 +60,7 @@
 	s.Log.Warn("kept_owner_not_told", "cell", notice.Cell, "jobs", len(notice.IDs), "cancelled", notice.Cancelled)
 }
 
+// notifyOwner sends a notice once and reports whether the owner answered.
 func (s *Service) notifyOwner(notice OwnerNotice) bool {
 	ctx, cancel := context.WithTimeout(s.ctx, notifyTimeout)
 	defer cancel()
--- a/pkg/keeping/follow.go
+++ b/pkg/keeping/follow.go
@@ -18,7 +18,9 @@
 	// ownerCheckInterval is how often a follower looks for an owner while no change is
 	// announced.
 	ownerCheckInterval = 200 * time.Millisecond
-	// firstEpochWindow is how long after the commit the first epoch may be used.
+	// firstEpochWindow is how long after the start of a follower its first dispatch may use
+	// the requested epoch. It is short, because the first epoch may be used only right
+	// after the commit.
 	firstEpochWindow = 50 * time.Millisecond
 )
 
@@ -30,9 +32,9 @@
 	progress       []job.Progress
 	epoch          int
 	asOf           time.Duration // when the row was last confirmed
-	since          time.Duration
-	released       bool        // the cell that the job was moved from has confirmed that it does not run it
-	dispatched     atomic.Bool // it has been dispatched to an owner
+	since          time.Duration // when the follower was created
+	released       bool          // the cell that the job was moved from has confirmed that it does not run it
+	dispatched     atomic.Bool   // it has been dispatched to an owner
 	cancel         context.CancelFunc
 	ended          chan struct{} // closed when the end of the job is stored
 	ownerlessSince time.Duration // since when its cell has had no reachable owner; 0 while it has one
@@ -199,7 +201,9 @@
 	}
 }
 
-// raiseEpoch sets the epoch of the next dispatch.
+// raiseEpoch sets the epoch of the next dispatch, above all that any coordinator can have
+// used. The first dispatch keeps the requested epoch if it follows within
+// firstEpochWindow.
 func (f *follower) raiseEpoch() {
 	now := f.service().Clock.Now()
 	if !f.dispatched.Load() && now < f.since+firstEpochWindow {
@@ -304,6 +308,7 @@
 	f.partition.do(func(co *kept.Coordinator, _ time.Duration) { co.Move(moved) })
 }
 
+// finish reports the end of the job to the coordinator, which stores it.
 func (f *follower) finish(state kept.State) {
 	f.partition.do(func(co *kept.Coordinator, _ time.Duration) { co.Finish(f.record.ID, state) })
 }
--- a/pkg/keeping/partition.go
+++ b/pkg/keeping/partition.go
@@ -10,8 +10,9 @@
 	"github.com/foxcroft/foxcroft/pkg/tables"
 )
 
-// partition is this host's view of one partition of kept jobs. It exists also at hosts
-// that do not coordinate the partition, because any host may be asked to keep a job.
+// partition holds what this host knows and does about one partition of kept jobs. It
+// exists also at hosts that do not coordinate the partition, because any host may be asked
+// to keep a job.
 type partition struct {
 	service *Service
 	number  int
@@ -24,8 +25,8 @@
 	followers     map[string]*follower
 	timer         *time.Timer // wakes the next write
 	isCoordinator bool
-	version       uint64 // of the view when the coordinators were last computed
-	readings      int    // completed since the coordinators may have changed
+	viewVersion   uint64 // Host.ViewVersion when the coordinators were last computed
+	readings      int    // completed since the coordinators may have changed, including one in progress at that time
 	nextRead      time.Duration
 	lastRead      time.Duration // when the last reading ended
 	reading       bool
@@ -39,6 +40,8 @@
 		calls:       map[uint64]chan kept.CallAnswer{},
 		followers:   map[string]*follower{},
 	}
+	// The initial duration is arbitrary: writeNext resets the timer when a group is to be
+	// written, and an expiry without one has no effect.
 	p.timer = time.AfterFunc(time.Hour, func() { p.do(func(*kept.Coordinator, time.Duration) {}) })
 	return p
 }
@@ -153,21 +156,24 @@
 }
 
 // setCoordinator records whether this host coordinates the partition. When it becomes the
-// coordinator, or the set of reachable hosts changes, the open rows are read at once and
+// coordinator, or viewVersion has changed because a host joined, left or begins to leave,
+// another host may have written to the partition, so the open rows are read, and read
 // again later.
-func (p *partition) setCoordinator(is bool, version uint64, now time.Duration) {
+func (p *partition) setCoordinator(is bool, viewVersion uint64, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if is != p.isCoordinator {
 		p.service.Log.Info("kept_partition", "part", p.part, "keeper", is, "open", p.coordinator.Open())
 	}
-	if is && (!p.isCoordinator || version != p.version) {
+	if is && (!p.isCoordinator || viewVersion != p.viewVersion) {
 		p.readings, p.nextRead = 0, max(now, p.lastRead+minReadPause)
 	}
-	p.isCoordinator, p.version = is, version
+	p.isCoordinator, p.viewVersion = is, viewVersion
 }
 
-// tick expires calls and starts a reading of the open rows if one is due.
+// tick expires calls and starts a reading of the open rows if one is due. A host that does
+// not coordinate the partition reads them only if it has jobs but does not know the
+// store's clock, without which nothing is written.
 func (p *partition) tick(now time.Duration) {
 	p.do(func(co *kept.Coordinator, now time.Duration) { co.Expire(now) })
 	p.mu.Lock()
@@ -181,6 +187,7 @@
 	}
 }
 
+// read reads the open rows of the partition, applies them and schedules the next reading.
 func (p *partition) read() {
 	open, err := p.service.readOpen(p.service.ctx, p.part)
 	if err != nil {
@@ -200,7 +207,8 @@
 	})
 }
 
-// scheduleReading sets the time of the next reading. p.mu is held.
+// scheduleReading sets the time of the next reading after one that succeeded or failed.
+// p.mu is held.
 func (p *partition) scheduleReading(read bool, now time.Duration) {
 	if !read {
 		p.nextRead = now + secondReadDelay
@@ -227,13 +235,16 @@
 	p.applyRows(id, rows)
 }
 
+// applyRows passes the rows of one job to the coordinator and carries out the effects.
 func (p *partition) applyRows(id string, rows rowsOf) {
 	p.do(func(co *kept.Coordinator, now time.Duration) {
 		co.ApplyRows(id, rows.open, rows.ended, rows.began, now)
 	})
 }
 
-// awaitEnd waits up to endWait for the end of a job that is followed here.
+// awaitEnd waits up to endWait for the end of a job that is followed here, before a state
+// query is answered. It takes at most half of the caller's time, and leaves the rest for
+// reading the job's rows.
 func (p *partition) awaitEnd(ctx context.Context, id string) {
 	p.mu.Lock()
 	f := p.followers[id]
@@ -249,8 +260,10 @@
 	}
 }
 
-// soleReadings is the number of readings, without a change of the reachable hosts, after
-// which no other host can have changed the partition's jobs unnoticed.
+// soleReadings is the number of readings, without a change of the view, after which states
+// known here are answered without reading the job's rows. They are the one at the change
+// and those after secondReadDelay and thirdReadDelay, which find what other hosts wrote
+// meanwhile. Further ones are readInterval apart.
 const soleReadings = 3
 
 // isSoleCoordinator reports whether, as far as this host can tell, no other host
@@ -261,14 +274,17 @@
 	return p.isCoordinator && p.readings >= soleReadings
 }
 
-// isCurrent reports whether the known version of an open job is that of its row.
+// isCurrent reports whether the known version of an open job is that of its row. It is
+// false if the row is absent, and while a queued change keeps a newer row from being
+// applied.
 func (p *partition) isCurrent(id string, rows rowsOf) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.coordinator.IsCurrent(id, rows.open)
 }
 
-// state returns the state of a job as known to this host.
+// state returns the state of a job as known to this host, or false if it is unknown. A job
+// counts as running once it has been dispatched from here.
 func (p *partition) state(id string) (kept.State, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -279,12 +295,16 @@
 	return state, known
 }
 
+// open returns the number of jobs of the partition that this host does not know to have
+// ended.
 func (p *partition) open() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.coordinator.Open()
 }
 
+// countWaiting adds to counts, by route, the followed jobs that this host has not
+// dispatched to an owner yet.
 func (p *partition) countWaiting(counts map[string]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/keeping/rows.go
+++ b/pkg/keeping/rows.go
@@ -16,6 +16,7 @@
 	began time.Duration
 }
 
+// readRows reads the rows of a job.
 func (s *Service) readRows(ctx context.Context, id string) (rowsOf, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -29,6 +30,7 @@
 	return rows, err
 }
 
+// readRow reads a row of a job, or returns nil if it is absent.
 func (s *Service) readRow(ctx context.Context, table, id string) (*tables.Row, error) {
 	row, found, err := s.store.ReadRow(ctx, table, kept.PartOf(kept.PartitionOf(id)), id)
 	if err != nil || !found {
@@ -62,6 +64,8 @@
 	}
 }
 
+// readPage reads the open rows of a part from a key on, as many as the store returns at
+// once.
 func (s *Service) readPage(ctx context.Context, part, from string) (tables.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
--- a/pkg/keeping/service.go
+++ b/pkg/keeping/service.go
@@ -177,9 +177,10 @@
 	}
 }
 
+// partitionOf returns the partition that a job belongs to.
 func (s *Service) partitionOf(id string) *partition { return s.partitions[kept.PartitionOf(id)] }
 
-// Open returns the number of open kept jobs that this host knows.
+// Open returns the number of kept jobs at this host that are not known to have ended.
 func (s *Service) Open() int {
 	open := 0
 	for _, p := range s.partitions {
@@ -188,7 +189,8 @@
 	return open
 }
 
-// Waiting counts, by route, the kept jobs that have not been dispatched to an owner yet.
+// Waiting counts, by route, the jobs followed here that this host has not dispatched to an
+// owner yet.
 func (s *Service) Waiting() map[string]int {
 	counts := map[string]int{}
 	for _, p := range s.partitions {
@@ -268,7 +270,8 @@
 	return local
 }
 
-// chooseCell returns the cell that should run a job. It waits up to cellWait for one.
+// chooseCell returns the cell that should run a job. It waits up to cellWait for one, and
+// at most half of the caller's time, which leaves the rest for storing the job.
 func (s *Service) chooseCell(ctx context.Context, j *job.Job) (string, bool) {
 	ctx, cancel := context.WithTimeout(ctx, min(cellWait, remainingTime(ctx)/2))
 	defer cancel()
@@ -286,7 +289,7 @@
 	}
 }
 
-// StoreIsDown reports whether the last calls of this host to the store have all failed.
+// StoreIsDown reports whether the last transactions of this host have all failed.
 func (s *Service) StoreIsDown() bool { return s.health.IsDown() }
 
 // keepLocally keeps a job with this host as its coordinator.
@@ -314,6 +317,8 @@
 	return s.stateAt(ctx, id, hops)
 }
 
+// stateAt asks the coordinator for the state of a job, and answers from this host's
+// knowledge and the job's rows if there is no clear answer.
 func (s *Service) stateAt(ctx context.Context, id string, hops int) kept.Answer {
 	if answer, ok := s.forwardState(ctx, id, false, hops); ok && answer.Verdict != kept.Unknown {
 		return answer
@@ -371,7 +376,7 @@
 	return kept.Answer{Verdict: kept.Accepted, State: end.State}
 }
 
-// Cancel cancels a kept job for good.
+// Cancel cancels a kept job. If the job has ended before, the answer gives that state.
 func (s *Service) Cancel(ctx context.Context, id string) kept.Answer {
 	return s.recordAnswer("cancel", id, s.cancelAt(ctx, id, 0))
 }
--- a/pkg/keeping/unresolved_test.go
+++ b/pkg/keeping/unresolved_test.go
@@ -64,8 +64,9 @@
 			u.reconcile("again", kept.Answer{Verdict: kept.Unknown}, now)
 		}
 	}
+	// All jobs and all renewals of "again" within the retention, and one more.
 	most := int(unresolvedRetention/gap) + int(unresolvedRetention/time.Second) + 1
 	qt.Assert(t, len(u.until) <= most, qt.IsTrue, qt.Commentf("%d of %d at most", len(u.until), most))
-	u.contains("", 4*unresolvedRetention)
+	u.contains("", 4*unresolvedRetention) // each call removes the expired entries
 	qt.Assert(t, u.until, qt.HasLen, 0)
 }
--- a/pkg/kept/coordinator.go
+++ b/pkg/kept/coordinator.go
@@ -17,9 +17,9 @@
 
 // Reasons of refusals and of answers with the verdict Unknown.
 const (
-	ReasonStoreDown         = "store_down"
-	ReasonStoreUnresponsive = "store_silent"
-	ReasonRowUnreadable     = "row_unreadable"
+	ReasonStoreDown         = "store_down"     // this coordinator has not stored the job: the store failed, or the calls expired before a write
+	ReasonStoreUnresponsive = "store_silent"   // the outcome was not known at the call's deadline
+	ReasonRowUnreadable     = "row_unreadable" // the job's row cannot be decoded
 )
 
 // call is a caller that waits for an answer.
@@ -33,8 +33,8 @@
 	record       Record
 	version      uint64        // of its row; 0 before the row is known to be stored
 	knownSince   time.Duration // when this coordinator first had the job
-	unresolved   bool          // an attempt to insert its row got no answer and may still be applied
-	failedWrites int           // failed attempts to write its rows
+	unresolved   bool          // its insert is not confirmed, but its row may be stored and other coordinators may have read it
+	failedWrites int           // writes of its rows that were certainly not applied, never reset; limits the attempts to insert a new job
 	queued       bool          // it is in the queue or in the group in flight
 	endState     State         // the final state to write; 0 while the job is open
 	pendingMove  *Record       // the record to replace the row's; nil for none
@@ -63,8 +63,9 @@
 	effects  Effects
 }
 
-// NewCoordinator returns a coordinator without jobs for a part of the tables. The
-// coordinators of a host share health.
+// NewCoordinator returns a coordinator without jobs for a part of the tables. All
+// coordinators of a host are given the same health, which counts the failed transactions
+// of the host.
 func NewCoordinator(part string, codec Codec, health *Health) *Coordinator {
 	return &Coordinator{part: part, codec: codec, entries: map[string]*entry{}, ended: map[string]endedEntry{}, pacer: newPacer(health)}
 }
@@ -95,10 +96,13 @@
 	return effects
 }
 
-// Open returns the number of open jobs.
+// Open returns the number of jobs that are not known to have ended. It includes jobs that
+// are not stored yet and jobs whose end is not stored yet.
 func (co *Coordinator) Open() int { return len(co.entries) }
 
 // Accept stores a job, and answers the call once the outcome is known, or at the deadline.
+// A job that is stored or has ended already is answered at once. A new job is refused at
+// once while the store is down, unless it is used to probe the store.
 func (co *Coordinator) Accept(number uint64, record Record, deadline, now time.Duration) {
 	id := record.ID
 	if known, ok := co.ended[id]; ok {
@@ -111,7 +115,7 @@
 			co.answer(number, refusal(ReasonStoreDown))
 			return
 		}
-		record.Epoch = 0
+		record.Epoch = 0 // a new job has not been dispatched yet
 		e = &entry{record: record, knownSince: now}
 		co.entries[id] = e
 	}
@@ -123,13 +127,16 @@
 	co.enqueue(id, e)
 }
 
-// mayProbe reports whether a new job may be used to test a store that seems down.
+// mayProbe reports whether the write of a new job may be used to test a store that seems
+// down: no other write is pending and the pacer allows one now.
 func (co *Coordinator) mayProbe(now time.Duration) bool {
 	return len(co.queue) == 0 && len(co.inFlight) == 0 && now >= co.pacer.next
 }
 
-// Cancel ends a job for good, and answers the call once that is stored. It returns false
-// for an unknown job, whose rows must be read first.
+// Cancel cancels a job unless it ends otherwise before, and answers the call once the
+// stored end is known, or at the deadline. The answer is Accepted also if an earlier end,
+// such as Completed, takes precedence; its State tells which. Cancel returns false for an
+// unknown job, whose rows must be read first.
 func (co *Coordinator) Cancel(number uint64, id string, deadline, _ time.Duration) bool {
 	if known, ok := co.ended[id]; ok {
 		co.answerEnded(call{number: number}, known)
@@ -160,7 +167,8 @@
 	return 0, false
 }
 
-// Finish records the end of a job that the owner of its cell reported.
+// Finish records the end of a job that the owner of its cell reported, and queues it for
+// writing. It is ignored if the job is unknown or another end is already to be written.
 func (co *Coordinator) Finish(id string, state State) {
 	e := co.entries[id]
 	if e == nil || e.endState != 0 {
@@ -172,7 +180,8 @@
 }
 
 // Move assigns a job to another cell, or saves its progress if the cell is unchanged. The
-// job is followed by the new record once that is stored.
+// job is followed by the new record once that is stored. Jobs that are unknown, not stored
+// yet or about to end are not moved.
 func (co *Coordinator) Move(record Record) {
 	e := co.entries[record.ID]
 	if e == nil || e.endState != 0 || !e.isStored() {
@@ -187,7 +196,8 @@
 }
 
 // ApplyOpenRows applies a complete reading of the partition's open jobs that began at
-// began. Jobs that were unknown are followed from now on.
+// began. Jobs that were unknown are followed from now on. Stored jobs that the reading
+// lacks may have ended, so their own rows are read next.
 func (co *Coordinator) ApplyOpenRows(rows []tables.Row, began, now time.Duration) {
 	listed := map[string]bool{}
 	for _, row := range rows {
@@ -203,7 +213,8 @@
 }
 
 // ApplyRows applies the rows of one job as read by a reading that began at began; nil for
-// an absent row.
+// an absent row. If both are absent, the job stays as it is: its row may not be stored
+// yet. If its rows have been removed, the conflict of its next change shows that.
 func (co *Coordinator) ApplyRows(id string, open, ended *tables.Row, began, now time.Duration) {
 	if ended != nil {
 		co.applyEndedRow(id, *ended, now)
@@ -221,8 +232,9 @@
 	return e != nil && row != nil && e.version == row.Version
 }
 
-// applyOpenRow applies the row of an open job. A change that is queued or in flight takes
-// precedence over any reading.
+// applyOpenRow applies the row of an open job and requests to follow the job. Rows that
+// are not newer than the known version are ignored. A change that is queued or in flight
+// takes precedence over any reading.
 func (co *Coordinator) applyOpenRow(row tables.Row, began, now time.Duration) {
 	e := co.entries[row.Key]
 	if _, over := co.ended[row.Key]; over || e != nil && (e.queued || row.Version <= e.version) {
@@ -241,7 +253,8 @@
 	co.requestFollow(e, record.EpochAt(co.Age(&record, now)), began)
 }
 
-// applyEndedRow applies the row of an ended job.
+// applyEndedRow applies the row of an ended job. If it cannot be decoded, the job counts
+// as failed.
 func (co *Coordinator) applyEndedRow(id string, row tables.Row, now time.Duration) {
 	end, err := co.codec.DecodeEnd(row.Value)
 	if err != nil {
@@ -251,7 +264,9 @@
 	co.recordEnd(id, end.State, end.Cell, now)
 }
 
-// Expire answers the calls whose deadlines have passed and removes old ends.
+// Expire answers the calls whose deadlines have passed and forgets the ends that are older
+// than endedRetention. A job that no attempt here can have stored is refused and dropped
+// once none of its accept calls waits any more.
 func (co *Coordinator) Expire(now time.Duration) {
 	for id, e := range co.entries {
 		if co.cannotBeStored(id, e) && !slices.ContainsFunc(e.acceptCalls, func(c call) bool { return now < c.deadline }) {
@@ -264,6 +279,7 @@
 	co.removeOldEnds(now)
 }
 
+// removeOldEnds forgets the ends that are older than endedRetention.
 func (co *Coordinator) removeOldEnds(now time.Duration) {
 	old := 0
 	for _, id := range co.endedIDs {
@@ -282,7 +298,8 @@
 	return !e.isStored() && !e.unresolved && !co.isInFlight(id)
 }
 
-// expireCalls answers the calls whose deadlines have passed and returns the others.
+// expireCalls answers the calls whose deadlines have passed with Unknown and returns the
+// others.
 func (co *Coordinator) expireCalls(calls []call, now time.Duration) []call {
 	return slices.DeleteFunc(calls, func(c call) bool {
 		over := now >= c.deadline
@@ -309,13 +326,15 @@
 	return Answer{Verdict: Refused, Reason: reason, RetryAfter: retryDelay}
 }
 
-// removeOpen removes a job from the open ones.
+// removeOpen removes a job from the open ones and from the queue.
 func (co *Coordinator) removeOpen(id string) {
 	delete(co.entries, id)
 	co.queue = slices.DeleteFunc(co.queue, func(queued string) bool { return queued == id })
 }
 
-// recordEnd records the stored end of a job and answers its calls.
+// recordEnd remembers the end of a job, also of one that is not open here. It answers the
+// calls about an open job and requests to stop following it. An end that is already
+// remembered keeps its state and its time.
 func (co *Coordinator) recordEnd(id string, state State, cell string, now time.Duration) {
 	e := co.entries[id]
 	known, again := co.ended[id]
@@ -334,6 +353,9 @@
 	co.effects.Ended = append(co.effects.Ended, EndedJob{ID: id, Cell: cell, State: state})
 }
 
+// answerEnded answers a call about an ended job. Only a cancelled job may still run in its
+// cell, so only then the answer names the cell, whose owner is notified before a cancel is
+// answered.
 func (co *Coordinator) answerEnded(c call, known endedEntry) {
 	answer := CallAnswer{Call: c.number, Answer: Answer{Verdict: Accepted, State: known.state}}
 	if known.state == Cancelled {
@@ -342,6 +364,8 @@
 	co.effects.Answers = append(co.effects.Answers, answer)
 }
 
+// enqueue queues an entry for the next group. An entry that is queued or in flight is not
+// queued again; Committed queues it again if it still has a change.
 func (co *Coordinator) enqueue(id string, e *entry) {
 	if e.queued {
 		return
@@ -350,6 +374,8 @@
 	co.queue = append(co.queue, id)
 }
 
+// requestFollow requests to follow a job from the given epoch on; asOf is when its row was
+// last confirmed.
 func (co *Coordinator) requestFollow(e *entry, epoch int, asOf time.Duration) {
 	co.effects.Follow = append(co.effects.Follow, FollowRequest{Record: e.record, Epoch: epoch, AsOf: asOf})
 }
--- a/pkg/kept/coordinator_test.go
+++ b/pkg/kept/coordinator_test.go
@@ -24,7 +24,8 @@
 
 func record(id string) Record { return Record{ID: id, Cell: "x", Job: []byte(id)} }
 
-// next returns the next group, sent after the longest gap.
+// next returns the next group. It is sent after maxGap, when the pacer allows a write
+// however many have failed before.
 func (f *fixture) next(c *qt.C) tables.Transaction {
 	f.now += maxGap
 	t, ok := f.coordinator.Next(f.now)
@@ -50,9 +51,9 @@
 func TestAcceptAnswers(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		answer   func(f *fixture, c *qt.C) // drives the first group
+		events   func(f *fixture, c *qt.C) // after the call of Accept
 		verdict  Verdict                   // 0: no answer yet
-		epoch    int                       // of the follow request; 0 for none
+		epoch    int                       // of the follow request; 0 for none. Record.EpochAt returns 2 for a new record, and 1 more per epochInterval of its age
 	}{
 		{"the write succeeds", func(f *fixture, c *qt.C) { f.write(c) }, Accepted, firstEpoch},
 		{"one write fails", func(f *fixture, c *qt.C) {
@@ -107,7 +108,7 @@
 			c := qt.New(t)
 			f := newFixture()
 			f.coordinator.Accept(1, record("a"), f.now+time.Minute, f.now)
-			s.answer(f, c)
+			s.events(f, c)
 			effects := f.coordinator.TakeEffects()
 			var verdict Verdict
 			for _, answer := range effects.Answers {
@@ -129,7 +130,7 @@
 	f.coordinator.Accept(1, record("a"), f.now+time.Minute, f.now)
 	late := f.next(c)
 	f.coordinator.Committed(tables.Result{}, errMaybe, f.now)
-	f.coordinator.Committed(tables.Result{}, errDown, f.now)
+	f.coordinator.Committed(tables.Result{}, errDown, f.now) // without a group in flight, it must not affect the job
 	f.coordinator.Accept(2, record("a"), f.now+time.Minute, f.now)
 	for range 4 {
 		f.next(c)
@@ -158,7 +159,7 @@
 	f.now += maxGap
 	f.coordinator.Accept(3, record("d"), f.now+time.Minute, f.now)
 	f.write(c)
-	c.Assert(f.coordinator.TakeEffects().Answers, qt.HasLen, 1, qt.Commentf("one of them probes the store"))
+	c.Assert(f.coordinator.TakeEffects().Answers, qt.HasLen, 1, qt.Commentf("the write of a new job probes the store"))
 	f.coordinator.Accept(4, record("e"), f.now+time.Minute, f.now)
 	c.Assert(f.coordinator.TakeEffects().Answers, qt.HasLen, 0, qt.Commentf("the store is up again"))
 }
@@ -316,7 +317,7 @@
 	f.coordinator.Committed(result, err, f.now)
 	_, ok = f.coordinator.Next(f.now)
 	c.Assert(ok, qt.IsFalse, qt.Commentf("not before the minimum gap"))
-	for _, entries := range []int{99, 99, 12} {
+	for _, entries := range []int{99, 99, 12} { // 33, 33 and 4 jobs of 3 entries each: a transaction holds tables.MostEntries
 		next := f.next(c)
 		c.Assert(next.Entries(), qt.Equals, entries)
 		result, err := f.store.commit(next, f.now)
@@ -349,7 +350,7 @@
 	next.ApplyOpenRows(f.store.read(TableOpen), f.now, f.now)
 	follow := next.TakeEffects().Follow
 	c.Assert(follow, qt.HasLen, 1)
-	c.Assert(follow[0].Epoch, qt.Equals, 2+7)
+	c.Assert(follow[0].Epoch, qt.Equals, 2+7) // the age is 7 times epochInterval
 	next.ApplyOpenRows(f.store.read(TableOpen), f.now, f.now)
 	c.Assert(next.TakeEffects().Follow, qt.HasLen, 0, qt.Commentf("it is already followed"))
 }
@@ -360,7 +361,7 @@
 	f.coordinator.ApplyOpenRows(nil, f.now, f.now)
 	c.Assert(f.coordinator.TakeEffects().ReadRows, qt.DeepEquals, []string{"a"})
 	f.coordinator.ApplyRows("a", f.store.row(TableOpen, "a"), nil, f.now, f.now)
-	c.Assert(f.coordinator.TakeEffects(), qt.DeepEquals, Effects{}, qt.Commentf("the reading began before the commit"))
+	c.Assert(f.coordinator.TakeEffects(), qt.DeepEquals, Effects{}, qt.Commentf("the version of the row is already known"))
 	f.coordinator.ApplyRows("a", nil, &tables.Row{Table: TableEnded, Key: "a", Value: encode(End{State: Failed})}, f.now, f.now)
 	c.Assert(f.coordinator.TakeEffects().Ended, qt.HasLen, 1)
 }
--- a/pkg/kept/effects.go
+++ b/pkg/kept/effects.go
@@ -6,7 +6,7 @@
 type CallAnswer struct {
 	Call   uint64
 	Answer Answer
-	Cell   string // of a cancelled job: the owner of this cell is notified before the caller is answered
+	Cell   string // of a cancelled job: the owner of this cell is notified before the caller of a cancel is answered
 }
 
 // FollowRequest asks for a job to be dispatched to the owner of its cell and followed
@@ -27,7 +27,7 @@
 	State State
 }
 
-// Effects are the actions that a coordinator requests.
+// Effects are the actions that a coordinator requests of its caller.
 type Effects struct {
 	Answers  []CallAnswer
 	Follow   []FollowRequest
--- a/pkg/kept/group.go
+++ b/pkg/kept/group.go
@@ -31,6 +31,9 @@
 			co.entries[id].queued = false
 			continue
 		}
+		// The age of a job counts from the write of its row. An insert that
+		// is repeated after an unknown outcome keeps the time, so that each attempt stores
+		// the same row.
 		if c.kind == accept && !co.entries[id].unresolved {
 			c.record.AcceptedAt = co.clock.at(now)
 			co.entries[id].record = c.record
@@ -53,7 +56,8 @@
 	return co.pacer.next, len(co.queue) > 0 && len(co.inFlight) == 0 && co.clock.known
 }
 
-// changeOf returns the pending change of an entry.
+// changeOf returns the change to write next for an entry, or false if there is none. The
+// insert of its row precedes its end, and the end precedes a move.
 func (co *Coordinator) changeOf(id string) (change, bool) {
 	e := co.entries[id]
 	c := change{id: id, version: e.version}
@@ -70,11 +74,14 @@
 	return c, true
 }
 
+// isInFlight reports whether the group in flight contains a change of the job.
 func (co *Coordinator) isInFlight(id string) bool {
 	return slices.ContainsFunc(co.inFlight, func(c change) bool { return c.id == id })
 }
 
-// Committed handles the result of a transaction.
+// Committed handles the result of the transaction in flight. An error of kind PlatformDown
+// means that nothing was applied. After other errors, except for a conflict, the group may
+// have been applied or may still be.
 func (co *Coordinator) Committed(result tables.Result, err error, now time.Duration) {
 	group := co.inFlight
 	co.inFlight = nil
@@ -182,6 +189,8 @@
 	case !ok && c.kind == end:
 		co.recordEnd(c.id, c.state, c.cell, now) // both rows are removed: it ended long ago
 	case !ok:
+		// A move finds both rows removed: the job ended long ago, in an unknown state. As
+		// Cancelled, it is also stopped in its cell.
 		co.recordEnd(c.id, Cancelled, e.record.Cell, now)
 	default:
 		co.adoptOpenRow(c, e, row, now)
@@ -207,7 +216,7 @@
 	co.requeueIfPending(c.id, e)
 }
 
-// abandonUnreadable drops a job whose row cannot be decoded.
+// abandonUnreadable drops a job whose row cannot be decoded. Its callers get Unknown.
 func (co *Coordinator) abandonUnreadable(id string, e *entry) {
 	for _, c := range slices.Concat(e.acceptCalls, e.cancelCalls) {
 		co.answer(c.number, Answer{Verdict: Unknown, Reason: ReasonRowUnreadable, RetryAfter: retryDelay})
@@ -216,7 +225,7 @@
 }
 
 // retryUnapplied queues a group again of which nothing was applied. It refuses new jobs
-// after maxAttempts.
+// after maxAttempts, unless an earlier attempt may have stored them.
 func (co *Coordinator) retryUnapplied(group []change) {
 	for _, c := range group {
 		e := co.entries[c.id]
@@ -232,7 +241,8 @@
 	}
 }
 
-// retryUnresolved queues a group again that may have been applied or may still be.
+// retryUnresolved queues a group again that may have been applied or may still be. Its new
+// jobs can no longer be refused.
 func (co *Coordinator) retryUnresolved(group []change) {
 	for _, c := range group {
 		e := co.entries[c.id]
--- a/pkg/kept/partition.go
+++ b/pkg/kept/partition.go
@@ -19,6 +19,7 @@
 	TableEnded = "jobs_ended" // completed, failed or cancelled jobs
 )
 
+// PartitionOf returns the number of the partition that a job belongs to.
 func PartitionOf(id string) int { return int(xxhash.Sum64String(id) % Partitions) }
 
 // PartOf returns the name of the tables' part that holds a partition.
