--- a/pkg/cell/bench_test.go
+++ b/pkg/cell/bench_test.go
@@ -8,9 +8,8 @@
 	"github.com/foxcroft/foxcroft/pkg/catalog"
 )
 
-// BenchmarkOverloadedCell measures what one task costs the decisions of a
-// cell of 60 executors while 800 jobs wait: its start, its end, and the
-// placement of the next.
+// BenchmarkOverloadedCell measures the time that a cell of 60 executors with 800 queued jobs
+// spends on one task: its start, its end and the placement of the next one.
 func BenchmarkOverloadedCell(b *testing.B) {
 	const executors, queued = 60, 800
 	now := time.Second
@@ -22,7 +21,7 @@
 	}
 	c.SetExecutors(listed, now)
 	for i := range executors {
-		c.HoldAnswered(testLife(i), HoldResponse{Clock: time.Minute + now}, now, now)
+		c.HoldAnswered(testIncarnation(i), HoldResponse{Clock: time.Minute + now}, now, now)
 	}
 	jobs := 0
 	refill := func() {
@@ -45,16 +44,16 @@
 				c.StartAnswered(command.Executor.Incarnation(), command.Task, command.Run, Accepted, time.Minute+now, now)
 			case Hold:
 				e := c.executors[command.Executor.Incarnation()]
-				answer := HoldResponse{Clock: time.Minute + now}
+				response := HoldResponse{Clock: time.Minute + now}
 				for _, r := range e.sortedRuns() {
 					if r.state != running {
-						answer.Running = append(answer.Running, RunningTask{Task: r.name, Run: r.number})
+						response.Running = append(response.Running, RunningTask{Task: r.name, Run: r.number})
 						continue
 					}
 					number++
-					answer.Ended = append(answer.Ended, EndedTask{Number: e.lastEndNumber + 1 + int64(len(answer.Ended)), Task: r.name, Run: r.number})
+					response.Ended = append(response.Ended, EndedTask{Number: e.lastEndNumber + 1 + int64(len(response.Ended)), Task: r.name, Run: r.number})
 				}
-				c.HoldAnswered(command.Executor.Incarnation(), answer, now-ms, now)
+				c.HoldAnswered(command.Executor.Incarnation(), response, now-ms, now)
 			}
 		}
 		if len(commands) == 0 {
--- a/pkg/cell/cell_test.go
+++ b/pkg/cell/cell_test.go
@@ -15,22 +15,23 @@
 	testJobLease = 1200 * ms
 )
 
-// driver plays executors and fronts against a cell.
+// driver simulates the executors and fronts of a cell.
 type driver struct {
-	c        *qt.C
-	cell     *Cell
-	now      time.Duration
-	commands []Command
-	finished map[string]job.Outcome
-	silent   bool // no front renews its jobs any more
+	c               *qt.C
+	cell            *Cell
+	now             time.Duration
+	commands        []Command
+	finished        map[string]job.Outcome
+	renewalsStopped bool // fronts do not renew their jobs
 }
 
-// renewal returns now as the time of a renewal, which isn't known at 0.
+// renewal returns the time of a renewal that is made now. It is never 0, which stands for no
+// known renewal.
 func (d *driver) renewal() time.Duration { return max(d.now, 1) }
 
-// renew has the fronts of all jobs renew them.
+// renew renews all jobs, as their fronts do.
 func (d *driver) renew() {
-	if d.silent {
+	if d.renewalsStopped {
 		return
 	}
 	for id := range d.cell.jobs {
@@ -42,19 +43,19 @@
 	d := &driver{c: c, cell: New(DefaultParams(time.Second, testJobLease, 50*ms), 7, 0), finished: map[string]job.Outcome{}}
 	d.cell.MarkListComplete()
 	d.cell.SetExecutors(executors, d.now)
-	d.take()
+	d.takeActions()
 	return d
 }
 
-// adopted makes a driver whose executors have answered their first hold.
-func adopted(c *qt.C, count int) *driver {
+// newAdoptedDriver returns a driver whose executors have answered their first hold.
+func newAdoptedDriver(c *qt.C, count int) *driver {
 	var executors []catalog.Executor
 	for i := range count {
 		executors = append(executors, testExecutor(i))
 	}
 	d := newDriver(c, executors...)
 	for i := range count {
-		d.holdAnswer(i, HoldResponse{Clock: time.Minute + d.now}, d.now)
+		d.holdAnswered(i, HoldResponse{Clock: time.Minute + d.now}, d.now)
 	}
 	d.commands = nil
 	return d
@@ -62,8 +63,8 @@
 
 func executorID(i int) string { return fmt.Sprintf("executor-%d", i) }
 
-// testLife returns the life of an executor that doesn't tell when it began.
-func testLife(i int) catalog.Incarnation { return catalog.Incarnation(executorID(i)) }
+// testIncarnation returns the incarnation of an executor without a start time.
+func testIncarnation(i int) catalog.Incarnation { return catalog.Incarnation(executorID(i)) }
 
 func testExecutor(i int) catalog.Executor {
 	return catalog.Executor{ID: executorID(i), Service: "service", Address: fmt.Sprintf("10.0.0.%d:1", i+1), Capacity: job.Resources{CPU: 16000, MemoryMB: 1000}}
@@ -77,7 +78,7 @@
 	}
 }
 
-func (d *driver) take() {
+func (d *driver) takeActions() {
 	commands, finished, _ := d.cell.TakeActions()
 	d.commands = append(d.commands, commands...)
 	for _, f := range finished {
@@ -87,29 +88,29 @@
 
 func (d *driver) submit(j *job.Job, epoch int) {
 	d.cell.Submit(Handover{Job: j, Epoch: epoch, RenewedAt: d.renewal()}, d.now)
-	d.take()
+	d.takeActions()
 }
 
 func (d *driver) tick(after time.Duration) {
 	d.now += after
 	d.renew()
 	d.cell.Tick(d.now)
-	d.take()
+	d.takeActions()
 }
 
-func (d *driver) holdAnswer(i int, answer HoldResponse, sentAt time.Duration) {
+func (d *driver) holdAnswered(i int, response HoldResponse, sentAt time.Duration) {
 	d.renew()
-	d.cell.HoldAnswered(testLife(i), answer, sentAt, d.now)
-	d.take()
+	d.cell.HoldAnswered(testIncarnation(i), response, sentAt, d.now)
+	d.takeActions()
 }
 
-func (d *driver) startAnswer(command Command, verdict Verdict) {
+func (d *driver) startAnswered(command Command, verdict Verdict) {
 	d.cell.StartAnswered(command.Executor.Incarnation(), command.Task, command.Run, verdict, time.Minute+d.now, d.now)
-	d.take()
+	d.takeActions()
 }
 
-// of returns and forgets the commands of a kind.
-func (d *driver) of(kind CommandKind) []Command {
+// takeCommands returns the pending commands of a kind and removes them.
+func (d *driver) takeCommands(kind CommandKind) []Command {
 	var found, rest []Command
 	for _, command := range d.commands {
 		if command.Kind == kind {
@@ -122,85 +123,88 @@
 	return found
 }
 
-func TestHoldThatOvertookAStartIsNoProofOfAbsence(t *testing.T) {
+// A hold that is sent before its start is answered may reach the executor first. Its list must
+// not make a run count as absent.
+func TestAHoldSentDuringAStartDoesNotConfirmAbsence(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 1)
+	d := newAdoptedDriver(c, 1)
 	d.submit(testJob("a", 1, d.now), 1)
-	start := d.of(Start)[0]
+	start := d.takeCommands(Start)[0]
 	d.now += ms
-	sentAt := d.now // the hold leaves while the start is under way
+	sentAt := d.now // the hold is sent while the start is in flight
 	d.now += ms
-	d.startAnswer(start, Accepted)
-	d.holdAnswer(0, HoldResponse{Clock: time.Minute + d.now}, sentAt)
-	c.Assert(d.of(Start), qt.HasLen, 0)
+	d.startAnswered(start, Accepted)
+	d.holdAnswered(0, HoldResponse{Clock: time.Minute + d.now}, sentAt)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0)
 
 	d.now += ms
-	d.holdAnswer(0, HoldResponse{Clock: time.Minute + d.now}, d.now)
-	c.Assert(d.of(Start), qt.HasLen, 1, qt.Commentf("a hold sent later proves that the run is gone"))
+	d.holdAnswered(0, HoldResponse{Clock: time.Minute + d.now}, d.now)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 1, qt.Commentf("a hold sent after the answer confirms that the run is absent"))
 }
 
-func TestJobGivenBackWaitsForExecutorsThatHaveNotAnswered(t *testing.T) {
+// Runs of the former owner may be alive on an executor that has not answered yet.
+func TestAReturnedJobWaitsForExecutorsThatHaveNotAnswered(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(c, testExecutor(0), testExecutor(1))
-	d.holdAnswer(0, HoldResponse{Clock: time.Minute}, 0)
-	d.tick(5 * time.Second) // the other executor has been out of reach for long
+	d.holdAnswered(0, HoldResponse{Clock: time.Minute}, 0)
+	d.tick(5 * time.Second) // the other executor is unreachable for longer than any lease
 	d.submit(testJob("a", 1, d.now), 2)
-	c.Assert(d.of(Start), qt.HasLen, 0, qt.Commentf("the former owner may have reached it until now"))
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0, qt.Commentf("the former owner may have reached the other executor until now"))
 	d.tick(testJobLease - ms)
-	c.Assert(d.of(Start), qt.HasLen, 0, qt.Commentf("the lease of the job at the former owner"))
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0, qt.Commentf("the job's lease at the former owner has not ended"))
 	d.tick(ms)
-	c.Assert(d.of(Start), qt.HasLen, 1)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 1)
 }
 
-func TestJobGivenBackStartsOnceAllExecutorsHaveAnswered(t *testing.T) {
+func TestAReturnedJobAdoptsItsRunOnceAllExecutorsHaveAnswered(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(c, testExecutor(0), testExecutor(1))
-	d.holdAnswer(0, HoldResponse{Clock: time.Minute}, 0)
+	d.holdAnswered(0, HoldResponse{Clock: time.Minute}, 0)
 	d.submit(testJob("a", 1, d.now), 2)
-	c.Assert(d.of(Start), qt.HasLen, 0)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0)
 	d.now += 10 * ms
 	running := []RunningTask{{Task: "a.0.0.0", Run: 1, Percent: 10}}
-	d.holdAnswer(1, HoldResponse{Clock: time.Minute, Running: running}, d.now)
-	c.Assert(d.of(Start), qt.HasLen, 0, qt.Commentf("its run is adopted"))
+	d.holdAnswered(1, HoldResponse{Clock: time.Minute, Running: running}, d.now)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0, qt.Commentf("the run of the former owner is adopted"))
 	d.now += 10 * ms
 	ends := []EndedTask{{Number: 1, Task: "a.0.0.0", Run: 1, Kind: EndDone}}
-	d.holdAnswer(1, HoldResponse{Clock: time.Minute, Ended: ends}, d.now)
+	d.holdAnswered(1, HoldResponse{Clock: time.Minute, Ended: ends}, d.now)
 	c.Assert(d.finished["a"].Kind, qt.Equals, job.Completed)
 }
 
-func TestTaskWaitsForTheEndOfAnOrphanThatIsBeingStopped(t *testing.T) {
+func TestATaskWaitsForTheEndOfAnOrphanThatIsBeingStopped(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(c, testExecutor(0), testExecutor(1))
 	running := []RunningTask{{Task: "a.0.0.0", Run: 1, Percent: 10}}
-	d.holdAnswer(0, HoldResponse{Clock: time.Minute, Running: running}, d.now)
-	d.holdAnswer(1, HoldResponse{Clock: time.Minute}, d.now)
+	d.holdAnswered(0, HoldResponse{Clock: time.Minute, Running: running}, d.now)
+	d.holdAnswered(1, HoldResponse{Clock: time.Minute}, d.now)
 	d.tick(500 * ms)
-	c.Assert(d.of(Stop), qt.HasLen, 1)
+	c.Assert(d.takeCommands(Stop), qt.HasLen, 1)
 	d.submit(testJob("a", 1, d.now), 2)
-	c.Assert(d.of(Start), qt.HasLen, 0)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0)
 	ends := []EndedTask{{Number: 1, Task: "a.0.0.0", Run: 1, Kind: EndStopped}}
-	d.holdAnswer(0, HoldResponse{Clock: time.Minute + d.now, Ended: ends}, d.now)
-	c.Assert(d.of(Start), qt.HasLen, 1)
+	d.holdAnswered(0, HoldResponse{Clock: time.Minute + d.now, Ended: ends}, d.now)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 1)
 }
 
-func TestJobGivenBackWaitsForACompleteList(t *testing.T) {
+func TestAReturnedJobWaitsForACompleteList(t *testing.T) {
 	c := qt.New(t)
 	d := &driver{c: c, cell: New(DefaultParams(time.Second, testJobLease, 50*ms), 7, 0), finished: map[string]job.Outcome{}}
-	d.submit(testJob("a", 1, d.now), 2) // comes before the first list
+	d.submit(testJob("a", 1, d.now), 2) // arrives before the first list
 	d.cell.SetExecutors([]catalog.Executor{testExecutor(0)}, d.now)
-	d.take()
-	d.holdAnswer(0, HoldResponse{Clock: time.Minute}, d.now)
-	c.Assert(d.of(Start), qt.HasLen, 0, qt.Commentf("an old list may lack the executor that runs it"))
+	d.takeActions()
+	d.holdAnswered(0, HoldResponse{Clock: time.Minute}, d.now)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0, qt.Commentf("an old list may lack the executor that runs the task"))
 
 	d.cell.MarkListComplete()
 	d.cell.SetExecutors([]catalog.Executor{testExecutor(0), testExecutor(1)}, d.now)
-	d.take()
-	c.Assert(d.of(Start), qt.HasLen, 0)
-	d.holdAnswer(1, HoldResponse{Clock: time.Minute}, d.now)
-	c.Assert(d.of(Start), qt.HasLen, 1)
+	d.takeActions()
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0)
+	d.holdAnswered(1, HoldResponse{Clock: time.Minute}, d.now)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 1)
 }
 
-// A task that fails may be at fault itself; two in a row tell of the executor.
+// A single failure may be the task's own fault; two in a row count against the executor.
 func TestWhenFailedTasksEjectTheirExecutor(t *testing.T) {
 	type scenario struct {
 		testName string
@@ -215,8 +219,8 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			d := adopted(c, 4)
-			e := d.cell.executors[testLife(0)]
+			d := newAdoptedDriver(c, 4)
+			e := d.cell.executors[testIncarnation(0)]
 			for i, kind := range s.ends {
 				w := newJobState(Handover{Job: testJob(fmt.Sprintf("job%d", i), 1, d.now), Epoch: 1}, newTaskTimes(), d.now)
 				r := &run{executor: e, name: w.job.TaskName(job.TaskKey{}), number: 1, job: w, task: w.steps[0][0], firstSentAt: d.now, estimate: 200 * ms}
@@ -229,10 +233,10 @@
 	}
 }
 
-func TestAFailureOnTrialEjectsAgain(t *testing.T) {
+func TestAFailureOnProbationEjectsAgain(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 4)
-	e := d.cell.executors[testLife(0)]
+	d := newAdoptedDriver(c, 4)
+	e := d.cell.executors[testIncarnation(0)]
 	e.health.eject(d.now)
 	first := e.health.ejectedUntil
 	d.cell.penalize(e, penaltyTaskFailed, "task", first)
--- a/pkg/cell/checkpoint_test.go
+++ b/pkg/cell/checkpoint_test.go
@@ -8,7 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestProgressIsToldBeforeItsEndsMayBeForgotten(t *testing.T) {
+// If an executor forgot an end that no persisted checkpoint covers, the task could run again
+// after a takeover.
+func TestEndsAreRetainedUntilACheckpointIsPersisted(t *testing.T) {
 	c := qt.New(t)
 	now := time.Second
 	state := New(DefaultParams(time.Second, testJobLease, 50*ms), 1, now)
@@ -23,7 +25,7 @@
 		state.adoptEnd(ended)
 	}
 	end(1, 0, EndDone)
-	c.Assert(state.Checkpoints(now), qt.HasLen, 0, qt.Commentf("the job may end before long"))
+	c.Assert(state.Checkpoints(now), qt.HasLen, 0, qt.Commentf("the job may end soon"))
 	c.Assert(state.releaseForgettable(e, now), qt.Equals, int64(0))
 
 	now += checkpointAfter
@@ -31,16 +33,16 @@
 	c.Assert(due, qt.HasLen, 1)
 	c.Assert(EndsOf(due[0].Progress), qt.Equals, 1)
 	end(2, 1, EndDone)
-	c.Assert(state.Checkpoints(now+ms), qt.HasLen, 0, qt.Commentf("it was told a moment ago"))
-	c.Assert(state.releaseForgettable(e, now), qt.Equals, int64(0), qt.Commentf("it doesn't last yet"))
+	c.Assert(state.Checkpoints(now+ms), qt.HasLen, 0, qt.Commentf("a checkpoint was reported a moment ago"))
+	c.Assert(state.releaseForgettable(e, now), qt.Equals, int64(0), qt.Commentf("the checkpoint is not persisted yet"))
 
 	state.CheckpointPersisted("a", 1, now)
-	c.Assert(state.releaseForgettable(e, now), qt.Equals, int64(1), qt.Commentf("the end that came later isn't in the row"))
+	c.Assert(state.releaseForgettable(e, now), qt.Equals, int64(1), qt.Commentf("the checkpoint does not cover the later end"))
 	now += checkpointAfter
 	due = state.Checkpoints(now)
 	c.Assert(due, qt.HasLen, 1)
 	c.Assert(EndsOf(due[0].Progress), qt.Equals, 2)
-	c.Assert(state.Checkpoints(now+checkpointRetry), qt.HasLen, 1, qt.Commentf("the word may have been lost"))
+	c.Assert(state.Checkpoints(now+checkpointRetry), qt.HasLen, 1, qt.Commentf("the report may have been lost"))
 	state.CheckpointPersisted("a", 2, now)
 	c.Assert(state.releaseForgettable(e, now), qt.Equals, int64(2))
 }
--- a/pkg/cell/clock_test.go
+++ b/pkg/cell/clock_test.go
@@ -9,35 +9,35 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// An owner that reads the list takes it in every 0.5 s, with the clocks of its first
-// reading: those tell nothing new, and must not age the estimate or count as seen.
-func TestAClockOfTheListIsNoNewsWhenItComesAgain(t *testing.T) {
+// The list of executors is applied every 0.5 s with the clocks of its first reading. A
+// repeated reading must not age the estimate or count as a new observation.
+func TestARepeatedClockReadingDoesNotAgeTheEstimate(t *testing.T) {
 	for _, idle := range []time.Duration{3 * time.Second, 4500 * ms, 6 * time.Second, 20 * time.Second, 60 * time.Second, 10 * time.Minute} {
 		c := qt.New(t)
-		d := adopted(c, 1)
+		d := newAdoptedDriver(c, 1)
 		info := testExecutor(0)
-		info.Clock = time.Minute                // as of the first reading
-		d.submit(testJob("keeps", 1, d.now), 1) // so that there is work
+		info.Clock = time.Minute                // of the first reading
+		d.submit(testJob("keeps", 1, d.now), 1) // keeps the cell busy
 		for until := d.now + idle; d.now < until; {
 			d.now += 500 * ms
 			d.cell.SetExecutors([]catalog.Executor{info}, d.now)
-			d.take()
+			d.takeActions()
 		}
-		e := d.cell.executors[testLife(0)]
+		e := d.cell.executors[testIncarnation(0)]
 		lag := time.Minute + d.now - e.clock.estimate(d.now)
 		t.Logf("idle for %s: the estimate is %s behind an exact clock", idle, lag)
 		if lag > 60*ms {
-			t.Errorf("idle for %s: %s behind", idle, lag)
+			t.Errorf("idle for %s: the estimate is %s behind", idle, lag)
 		}
 	}
 }
 
-func TestAnIdleExecutorOfTheListIsAskedForItsClock(t *testing.T) {
+func TestAnIdleExecutorGetsHoldsForItsClock(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 2)
+	d := newAdoptedDriver(c, 2)
 	infos := []catalog.Executor{testExecutor(0), testExecutor(1)}
 	infos[0].Clock, infos[1].Clock = time.Minute, time.Minute
-	// a job waits for room, so that there is work all the while
+	// A job that fits on no executor keeps the cell busy.
 	j := testJob("big", 1, d.now)
 	j.Steps[0].Needs.CPU = 99000
 	j.Deadline = time.Hour
@@ -46,44 +46,46 @@
 	for range 60 {
 		d.tick(500 * ms)
 		d.cell.SetExecutors(infos, d.now)
-		d.take()
-		for _, h := range d.of(Hold) {
+		d.takeActions()
+		for _, h := range d.takeCommands(Hold) {
 			holds++
 			i := 0
 			if h.Executor.ID == executorID(1) {
 				i = 1
 			}
-			d.holdAnswer(i, HoldResponse{Clock: time.Minute + d.now}, d.now)
+			d.holdAnswered(i, HoldResponse{Clock: time.Minute + d.now}, d.now)
 		}
 	}
-	lag := time.Minute + d.now - d.cell.executors[testLife(0)].clock.estimate(d.now)
+	lag := time.Minute + d.now - d.cell.executors[testIncarnation(0)].clock.estimate(d.now)
 	t.Logf("30 s, 2 idle executors: %d holds for clocks, estimate %s behind", holds, lag)
 	c.Assert(holds > 0, qt.IsTrue)
 }
 
-// what a start meets then
+// After idle time with repeated clock readings, the deadline of a start must still be ahead of
+// the executor's clock.
 func TestAStartAfterIdleTimeIsNotLate(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 1)
+	d := newAdoptedDriver(c, 1)
 	info := testExecutor(0)
 	info.Clock = time.Minute
 	for until := d.now + 20*time.Second; d.now < until; {
 		d.now += 500 * ms
 		d.cell.SetExecutors([]catalog.Executor{info}, d.now)
-		d.take()
+		d.takeActions()
 	}
 	d.submit(testJob("a", 1, d.now), 1)
-	starts := d.of(Start)
+	starts := d.takeCommands(Start)
 	if len(starts) == 0 {
-		t.Skip("it asks for the clock first")
+		t.Skip("the cell requests the clock first")
 	}
-	c.Assert(starts[0].Deadline > time.Minute+d.now, qt.IsTrue, qt.Commentf("late by %s", time.Minute+d.now-starts[0].Deadline))
+	c.Assert(starts[0].Deadline > time.Minute+d.now, qt.IsTrue, qt.Commentf("the deadline passed %s ago", time.Minute+d.now-starts[0].Deadline))
 }
 
-func TestAnExecutorThatTellsNoClockIsNotAskedWithoutPause(t *testing.T) {
+// An executor whose responses have no clock must not get holds without pause.
+func TestHoldsToAnExecutorWithoutAClockArePaced(t *testing.T) {
 	for _, verdict := range []Verdict{Accepted, Unhealthy} {
 		c := qt.New(t)
-		d := adopted(c, 1)
+		d := newAdoptedDriver(c, 1)
 		j := testJob("big", 1, d.now)
 		j.Steps[0].Needs.CPU = 99000
 		j.Deadline = time.Hour
@@ -92,52 +94,52 @@
 		holds := 0
 		for until := d.now + time.Second; d.now < until; {
 			d.now += 2 * ms
-			if len(d.of(Hold)) > 0 {
+			if len(d.takeCommands(Hold)) > 0 {
 				holds++
-				d.cell.HoldAnswered(testLife(0), HoldResponse{Verdict: verdict}, d.now, d.now)
-				d.take()
+				d.cell.HoldAnswered(testIncarnation(0), HoldResponse{Verdict: verdict}, d.now, d.now)
+				d.takeActions()
 			}
 		}
-		t.Logf("%s without a clock, 2 ms a trip: %d holds in a second", verdict, holds)
+		t.Logf("%s without a clock, 2 ms per round trip: %d holds in a second", verdict, holds)
 		if holds > 12 {
 			t.Errorf("%d holds in a second", holds)
 		}
 	}
 }
 
-// An answer that took longer than the best one so far tells nothing new of a clock
-// that is as slow as it may be; the estimate then runs ahead by the drift for as long
-// as no better answer comes: of leases that are set 0.7 s ahead and of starts.
-func TestTheEstimateOfAClockStaysNearIt(t *testing.T) {
+// An answer that took longer than the best one so far does not improve the estimate of a clock
+// that runs at the slowest allowed rate. The estimate must not drift ahead meanwhile, as
+// leases and starts depend on it.
+func TestTheClockEstimateStaysCloseToTheClock(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	clock := &remoteClock{}
-	shows := func(now time.Duration) time.Duration {
+	reading := func(now time.Duration) time.Duration {
 		return time.Hour + time.Duration(float64(now)*(1-maxClockDrift))
 	}
 	var furthest time.Duration
 	for now := time.Second; now < 2*time.Minute; now += 100 * ms {
-		way := 2*ms + time.Duration(random.ExpFloat64()*1.5*float64(ms))
-		clock.observe(shows(now-way).Truncate(ms), now)
-		c.Assert(clock.lowerBound(now) <= shows(now), qt.IsTrue)
-		furthest = max(furthest, clock.estimate(now)-shows(now))
+		delay := 2*ms + time.Duration(random.ExpFloat64()*1.5*float64(ms))
+		clock.observe(reading(now-delay).Truncate(ms), now)
+		c.Assert(clock.lowerBound(now) <= reading(now), qt.IsTrue)
+		furthest = max(furthest, clock.estimate(now)-reading(now))
 	}
-	c.Assert(furthest < 5*ms, qt.IsTrue, qt.Commentf("it ran ahead by %s", furthest))
+	c.Assert(furthest < 5*ms, qt.IsTrue, qt.Commentf("the estimate ran ahead by %s", furthest))
 }
 
-// Leases are set by the least that an executor's clock can show, so that a slow clock
-// doesn't make them longer.
+// Lease deadlines are computed from the lower bound of an executor's clock, so that a slow
+// clock does not extend them.
 func TestLeasesEndInTimeOnASlowClock(t *testing.T) {
 	c := qt.New(t)
-	shows := func(now time.Duration) time.Duration {
+	reading := func(now time.Duration) time.Duration {
 		return time.Hour + time.Duration(float64(now)*(1-maxClockDrift))
 	}
 	clock := &remoteClock{}
-	clock.observe(shows(time.Second), time.Second)
+	clock.observe(reading(time.Second), time.Second)
 	for _, age := range []time.Duration{0, 100 * ms, 5 * time.Second} {
 		now := time.Second + age
-		for _, left := range []time.Duration{-time.Second, 0, ms, testJobLease} {
-			c.Assert(clock.lowerBoundFuture(now+left, now) <= shows(now+left), qt.IsTrue, qt.Commentf("%s after the answer, %s ahead", age, left))
+		for _, remaining := range []time.Duration{-time.Second, 0, ms, testJobLease} {
+			c.Assert(clock.lowerBoundFuture(now+remaining, now) <= reading(now+remaining), qt.IsTrue, qt.Commentf("%s after the answer, deadline %s ahead", age, remaining))
 		}
 	}
 }
--- a/pkg/cell/crashes_test.go
+++ b/pkg/cell/crashes_test.go
@@ -9,34 +9,33 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// smallJob has tasks of which four fit on an executor.
+// smallJob returns a job with tasks of which four fit on an executor.
 func smallJob(id string, tasks int, now time.Duration) *job.Job {
 	j := testJob(id, tasks, now)
 	j.Steps[0].Needs.CPU = 4000
 	return j
 }
 
-// crash ends the life of an executor, by the list, and returns the next one, which has
-// answered.
+// crash lists the next incarnation of an executor, which answers its first hold.
 func (d *driver) crash(infos []catalog.Executor, i int) {
-	infos[i] = nextLife(infos[i])
+	infos[i] = nextIncarnation(infos[i])
 	d.cell.SetExecutors(infos, d.now)
-	d.take()
+	d.takeActions()
 	d.answerHold(&infos[i], HoldResponse{Clock: time.Second})
 }
 
-// acceptStarts has all starts accepted that have come up, and returns them.
+// acceptStarts accepts all pending starts and returns them.
 func (d *driver) acceptStarts() []Command {
-	starts := d.of(Start)
+	starts := d.takeCommands(Start)
 	for _, start := range starts {
 		e := d.cell.executors[start.Executor.Incarnation()]
 		d.cell.StartAnswered(e.incarnation, start.Task, start.Run, Accepted, e.clock.estimate(d.now), d.now)
 	}
-	d.take()
+	d.takeActions()
 	return starts
 }
 
-// indexOf returns which of the executors a command is for.
+// indexOf returns the index of the executor that a command is for.
 func indexOf(infos []catalog.Executor, command Command) int {
 	for i := range infos {
 		if infos[i].ID == command.Executor.ID {
@@ -46,9 +45,10 @@
 	return -1
 }
 
-func TestATaskUnderWhichTwoExecutorsCrashedIsGivenUp(t *testing.T) {
+// A task that crashes its executor must not do so to one executor after the other.
+func TestATaskFailsAfterTwoExecutorCrashes(t *testing.T) {
 	c := qt.New(t)
-	d, infos := adoptedLives(c, 3)
+	d, infos := newRestartableDriver(c, 3)
 	d.submit(smallJob("crashes", 1, d.now), 1)
 	for range maxCrashes {
 		c.Assert(d.finished, qt.HasLen, 0)
@@ -56,18 +56,20 @@
 		c.Assert(starts, qt.HasLen, 1)
 		d.crash(infos, indexOf(infos, starts[0]))
 	}
-	c.Assert(d.of(Start), qt.HasLen, 0)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0)
 	c.Assert(d.finished["crashes"].Kind, qt.Equals, job.Failed)
 	c.Assert(d.finished["crashes"].Reason, qt.Equals, ReasonCrashes)
 }
 
-func TestATaskBesideWhichAnExecutorCrashedRunsAlone(t *testing.T) {
+// It is unknown which of an executor's tasks made it crash, so each of them runs alone the
+// next time.
+func TestTasksOfACrashedExecutorRunAlone(t *testing.T) {
 	c := qt.New(t)
-	d, infos := adoptedLives(c, 3)
+	d, infos := newRestartableDriver(c, 3)
 	d.submit(smallJob("a", 2, d.now), 1)
 	first := d.acceptStarts()
 	c.Assert(first, qt.HasLen, 2)
-	c.Assert(first[0].Executor.ID, qt.Equals, first[1].Executor.ID) // they fit on one
+	c.Assert(first[0].Executor.ID, qt.Equals, first[1].Executor.ID) // both fit on one executor
 	d.crash(infos, indexOf(infos, first[0]))
 	alone := d.acceptStarts()
 	c.Assert(alone, qt.HasLen, 2)
@@ -80,10 +82,11 @@
 	}
 }
 
-// Where every executor is at work, it runs beside others, but not beside another suspect.
-func TestASuspectRunsBesideOthersWhereThereIsNoOtherRoom(t *testing.T) {
+// When all executors are in use, a suspect task runs beside others, but not beside another
+// suspect.
+func TestASuspectTaskSharesAnExecutorWhenNoneIsIdle(t *testing.T) {
 	c := qt.New(t)
-	d, infos := adoptedLives(c, 2)
+	d, infos := newRestartableDriver(c, 2)
 	d.submit(smallJob("a", 1, d.now), 1)
 	first := d.acceptStarts()[0]
 	d.submit(smallJob("b", 4, d.now), 1)
@@ -94,25 +97,27 @@
 	c.Assert(len(d.acceptStarts()) > 0, qt.IsTrue)
 }
 
-func TestATaskThatTwoSilentExecutorsWereLostUnderWaitsForWord(t *testing.T) {
+// Executors that became unresponsive may have crashed or may be unreachable. A task on two of
+// them must not start again before this is resolved or a pause has passed.
+func TestATaskOfTwoLostExecutorsWaitsForEvidence(t *testing.T) {
 	type scenario struct {
 		testName string
-		word     func(d *driver, infos []catalog.Executor, lost int)
+		evidence func(d *driver, infos []catalog.Executor, lost int)
 		starts   int
 		failed   bool
 	}
 	scenarios := []scenario{
-		{testName: "there is none", word: func(*driver, []catalog.Executor, int) {}},
-		{testName: "there is none for long", word: func(d *driver, _ []catalog.Executor, _ int) {
+		{testName: "no evidence", evidence: func(*driver, []catalog.Executor, int) {}},
+		{testName: "no evidence for a long time", evidence: func(d *driver, _ []catalog.Executor, _ int) {
 			d.tick(firstLossPause)
 		}, starts: 1},
-		{testName: "one of them lives on", word: func(d *driver, infos []catalog.Executor, lost int) {
+		{testName: "one of them is alive", evidence: func(d *driver, infos []catalog.Executor, lost int) {
 			d.answerHold(&infos[lost], HoldResponse{Clock: time.Minute + d.now})
 		}, starts: 1},
-		{testName: "one of them has crashed", word: func(d *driver, infos []catalog.Executor, lost int) {
+		{testName: "one of them has crashed", evidence: func(d *driver, infos []catalog.Executor, lost int) {
 			d.answerHold(&infos[lost], HoldResponse{Verdict: AcceptedByOther})
 		}},
-		{testName: "both have crashed", word: func(d *driver, infos []catalog.Executor, _ int) {
+		{testName: "both have crashed", evidence: func(d *driver, infos []catalog.Executor, _ int) {
 			for i := range infos {
 				d.answerHold(&infos[i], HoldResponse{Verdict: AcceptedByOther})
 			}
@@ -121,7 +126,7 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			d, infos := adoptedLives(c, 3)
+			d, infos := newRestartableDriver(c, 3)
 			j := smallJob("a", 1, d.now)
 			j.Deadline = d.now + time.Hour
 			d.submit(j, 1)
@@ -130,19 +135,19 @@
 				starts := d.acceptStarts()
 				c.Assert(starts, qt.HasLen, 1)
 				lost = indexOf(infos, starts[0])
-				d.loseSilent(&infos[lost])
+				d.loseExecutor(&infos[lost])
 			}
-			c.Assert(d.of(Start), qt.HasLen, 0)
-			s.word(d, infos, lost)
-			c.Assert(d.of(Start), qt.HasLen, s.starts)
+			c.Assert(d.takeCommands(Start), qt.HasLen, 0)
+			s.evidence(d, infos, lost)
+			c.Assert(d.takeCommands(Start), qt.HasLen, s.starts)
 			_, failed := d.finished["a"]
 			c.Assert(failed, qt.Equals, s.failed)
 		})
 	}
 }
 
-// loseSilent has an executor fall silent until its leases are over.
-func (d *driver) loseSilent(info *catalog.Executor) {
+// loseExecutor makes an executor unresponsive until its leases have expired.
+func (d *driver) loseExecutor(info *catalog.Executor) {
 	for range maxMissedHolds {
 		d.answerHold(info, HoldResponse{Verdict: Unanswered})
 	}
@@ -152,12 +157,12 @@
 	}
 	e.grantedUntil = 0
 	d.cell.advance(d.now)
-	d.take()
+	d.takeActions()
 }
 
-func TestThePlannedEndOfAnExecutorIsNoCrash(t *testing.T) {
+func TestARestartAfterDrainingIsNoCrash(t *testing.T) {
 	c := qt.New(t)
-	d, infos := adoptedLives(c, 2)
+	d, infos := newRestartableDriver(c, 2)
 	d.submit(smallJob("a", 1, d.now), 1)
 	start := d.acceptStarts()[0]
 	i := indexOf(infos, start)
@@ -169,22 +174,22 @@
 	c.Assert(d.cell.taskOf(start.Task).isSuspect(), qt.IsFalse)
 }
 
-// Tasks whose starts find an executor gone have crashed nothing.
-func TestAStartThatFindsItsExecutorGoneIsNoCrash(t *testing.T) {
+// A task whose start found that its executor had already restarted did not cause the crash.
+func TestAStartRefusedByTheNextIncarnationIsNoCrash(t *testing.T) {
 	c := qt.New(t)
-	d, infos := adoptedLives(c, 2)
+	d, infos := newRestartableDriver(c, 2)
 	d.submit(smallJob("a", 1, d.now), 1)
-	start := d.of(Start)[0]
-	d.startAnswer(start, WrongIncarnation)
+	start := d.takeCommands(Start)[0]
+	d.startAnswered(start, WrongIncarnation)
 	c.Assert(d.cell.executors[infos[indexOf(infos, start)].Incarnation()], qt.Satisfies, func(e *executor) bool { return e == nil || e.ended })
 	c.Assert(d.cell.taskOf(start.Task).isSuspect(), qt.IsFalse)
-	c.Assert(d.of(Start), qt.HasLen, 1)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 1)
 }
 
-// Owners tell the next one of the executors that have crashed under a task.
-func TestTheNextOwnerKnowsOfCrashes(t *testing.T) {
+// A task's crash count is part of its progress, so that a takeover does not reset it.
+func TestCrashesAreHandedOverToTheNextOwner(t *testing.T) {
 	c := qt.New(t)
-	d, infos := adoptedLives(c, 3)
+	d, infos := newRestartableDriver(c, 3)
 	j := smallJob("a", 1, d.now)
 	d.submit(j, 1)
 	d.crash(infos, indexOf(infos, d.acceptStarts()[0]))
@@ -192,9 +197,9 @@
 	c.Assert(progress, qt.HasLen, 1)
 	c.Assert(progress[0].Crashes, qt.Equals, 1)
 
-	next, others := adoptedLives(c, 2)
+	next, others := newRestartableDriver(c, 2)
 	next.cell.Submit(Handover{Job: j, Epoch: 2, Progress: progress, RenewedAt: next.renewal()}, next.now)
-	next.take()
+	next.takeActions()
 	next.crash(others, indexOf(others, next.acceptStarts()[0]))
 	c.Assert(next.finished["a"].Kind, qt.Equals, job.Failed)
 }
--- a/pkg/cell/incarnations_test.go
+++ b/pkg/cell/incarnations_test.go
@@ -8,21 +8,21 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// bornExecutor returns an executor's first life, which tells when it began.
-func bornExecutor(i int) catalog.Executor { return nextLife(testExecutor(i)) }
+// startedExecutor returns the first incarnation of an executor, with its start time.
+func startedExecutor(i int) catalog.Executor { return nextIncarnation(testExecutor(i)) }
 
-// nextLife returns the life of an executor that comes after one.
-func nextLife(info catalog.Executor) catalog.Executor {
+// nextIncarnation returns the incarnation of an executor that follows the given one.
+func nextIncarnation(info catalog.Executor) catalog.Executor {
 	info.StartedAt += 1000
 	return info
 }
 
-// adoptedLives makes a driver whose executors tell when their lives began and have answered
+// newRestartableDriver returns a driver whose executors have start times and have answered
 // their first hold.
-func adoptedLives(c *qt.C, count int) (*driver, []catalog.Executor) {
+func newRestartableDriver(c *qt.C, count int) (*driver, []catalog.Executor) {
 	var infos []catalog.Executor
 	for i := range count {
-		infos = append(infos, bornExecutor(i))
+		infos = append(infos, startedExecutor(i))
 	}
 	d := newDriver(c, infos...)
 	for i := range infos {
@@ -32,22 +32,23 @@
 	return d, infos
 }
 
-func (d *driver) answerHold(info *catalog.Executor, answer HoldResponse) {
+func (d *driver) answerHold(info *catalog.Executor, response HoldResponse) {
 	d.renew()
-	d.cell.HoldAnswered(info.Incarnation(), answer, d.now, d.now)
-	d.take()
+	d.cell.HoldAnswered(info.Incarnation(), response, d.now, d.now)
+	d.takeActions()
 }
 
-// startFour gives the cell a job of four tasks for two executors, and returns the starts.
-func (d *driver) startFour() []Command {
+// startFourTasks submits a job of four tasks to a cell of two executors, and returns the
+// starts.
+func (d *driver) startFourTasks() []Command {
 	d.submit(testJob("job", 4, d.now), 1)
-	starts := d.of(Start)
+	starts := d.takeCommands(Start)
 	d.c.Assert(starts, qt.HasLen, 4)
 	return starts
 }
 
-// onExecutor returns the commands for an executor.
-func onExecutor(commands []Command, info *catalog.Executor) []Command {
+// commandsFor returns the commands for an executor.
+func commandsFor(commands []Command, info *catalog.Executor) []Command {
 	var there []Command
 	for _, command := range commands {
 		if command.Executor.ID == info.ID {
@@ -57,26 +58,26 @@
 	return there
 }
 
-func TestRunsOfAnEndedLifeAreFreedAtOnce(t *testing.T) {
+func TestRunsOfAnEndedIncarnationAreRemovedAtOnce(t *testing.T) {
 	type scenario struct {
 		testName string
 		ends     func(d *driver, info *catalog.Executor)
 	}
 	scenarios := []scenario{
-		{testName: "another life is listed", ends: func(d *driver, info *catalog.Executor) {
-			d.cell.SetExecutors([]catalog.Executor{nextLife(*info), bornExecutor(1)}, d.now)
-			d.take()
+		{testName: "another incarnation is listed", ends: func(d *driver, info *catalog.Executor) {
+			d.cell.SetExecutors([]catalog.Executor{nextIncarnation(*info), startedExecutor(1)}, d.now)
+			d.takeActions()
 		}},
-		{testName: "another life has answered a hold", ends: func(d *driver, info *catalog.Executor) {
+		{testName: "another incarnation has answered a hold", ends: func(d *driver, info *catalog.Executor) {
 			d.answerHold(info, HoldResponse{Verdict: AcceptedByOther})
 		}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			d, infos := adoptedLives(c, 2)
-			for _, start := range d.startFour() {
-				d.startAnswer(start, Accepted)
+			d, infos := newRestartableDriver(c, 2)
+			for _, start := range d.startFourTasks() {
+				d.startAnswered(start, Accepted)
 			}
 			s.ends(d, &infos[0])
 			c.Assert(d.cell.executors[infos[0].Incarnation()], qt.Satisfies, func(e *executor) bool { return e == nil || len(e.runs) == 0 })
@@ -85,89 +86,91 @@
 	}
 }
 
-// The next life carries out orders for the former one, as both have one id.
-func TestAStartThatTheNextLifeMayHaveWaitsForItsStop(t *testing.T) {
+// Both incarnations have one id, so the next one carries out commands for the former one. A
+// run that it may have started counts as alive until it is stopped there.
+func TestAStartThatTheNextIncarnationMayHaveWaitsForItsStop(t *testing.T) {
 	type scenario struct {
 		testName string
 		answer   func(d *driver, start Command)
 	}
 	scenarios := []scenario{
-		{testName: "it got no answer", answer: func(d *driver, start Command) {
+		{testName: "the start was not answered", answer: func(d *driver, start Command) {
 			for range maxStartCopies {
-				d.startAnswer(start, Unanswered)
+				d.startAnswered(start, Unanswered)
 			}
 		}},
-		{testName: "it was accepted by a clock that has begun anew", answer: func(d *driver, start Command) {
+		{testName: "the start was accepted, and the clock has restarted", answer: func(d *driver, start Command) {
 			d.cell.StartAnswered(start.Executor.Incarnation(), start.Task, start.Run, Accepted, time.Second, d.now)
-			d.take()
+			d.takeActions()
 		}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			d, infos := adoptedLives(c, 2)
-			starts := onExecutor(d.startFour(), &infos[0])
+			d, infos := newRestartableDriver(c, 2)
+			starts := commandsFor(d.startFourTasks(), &infos[0])
 			c.Assert(starts, qt.HasLen, 2)
 			s.answer(d, starts[0])
-			d.startAnswer(starts[1], Accepted)
+			d.startAnswered(starts[1], Accepted)
 			d.commands = nil
 			d.answerHold(&infos[0], HoldResponse{Verdict: AcceptedByOther})
 			runs := d.cell.executors[infos[0].Incarnation()].runs
 			c.Assert(runs, qt.HasLen, 1)
 			c.Assert(runs[starts[0].Task], qt.IsNotNil)
-			stops := d.of(Stop)
+			stops := d.takeCommands(Stop)
 			c.Assert(stops, qt.HasLen, 1)
 
 			d.cell.StopAnswered(infos[0].Incarnation(), starts[0].Task, starts[0].Run, Unanswered, 0, d.now)
 			d.tick(2 * stopResendPause)
-			c.Assert(d.of(Stop), qt.Not(qt.HasLen), 0) // it is ordered again
+			c.Assert(d.takeCommands(Stop), qt.Not(qt.HasLen), 0) // the stop is sent again
 			d.cell.StopAnswered(infos[0].Incarnation(), starts[0].Task, starts[0].Run, Accepted, time.Second, d.now)
-			d.take()
-			c.Assert(d.cell.taskOf(starts[0].Task).current, qt.IsNotNil) // a stop takes its time
+			d.takeActions()
+			c.Assert(d.cell.taskOf(starts[0].Task).current, qt.IsNotNil) // a stop takes up to StopTime
 			d.tick(50 * ms)
 			c.Assert(d.cell.executors[infos[0].Incarnation()], qt.Satisfies, func(e *executor) bool { return e == nil || len(e.runs) == 0 })
 		})
 	}
 }
 
-// taskOf returns the task that executors know by a name.
+// taskOf returns the task that executors list under a name.
 func (c *Cell) taskOf(name string) *task {
 	_, t := c.findTask(name)
 	return t
 }
 
-func TestTheNextLifeOfADrainedExecutorGetsWork(t *testing.T) {
+func TestTheNextIncarnationOfADrainedExecutorGetsWork(t *testing.T) {
 	c := qt.New(t)
-	d, infos := adoptedLives(c, 1)
-	drains := infos[0]
-	drains.Draining = true
-	d.cell.SetExecutors([]catalog.Executor{drains}, d.now)
+	d, infos := newRestartableDriver(c, 1)
+	draining := infos[0]
+	draining.Draining = true
+	d.cell.SetExecutors([]catalog.Executor{draining}, d.now)
 	d.submit(testJob("job", 1, d.now), 1)
-	c.Assert(d.of(Start), qt.HasLen, 0)
-	next := nextLife(infos[0])
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0)
+	next := nextIncarnation(infos[0])
 	d.cell.SetExecutors([]catalog.Executor{next}, d.now)
-	d.take()
+	d.takeActions()
 	d.answerHold(&next, HoldResponse{Clock: time.Second})
-	starts := d.of(Start)
+	starts := d.takeCommands(Start)
 	c.Assert(starts, qt.HasLen, 1)
-	// by the clock of this life
+	// The deadline is set by the clock of the new incarnation.
 	c.Assert(starts[0].Deadline < 2*time.Second, qt.IsTrue, qt.Commentf("%s", starts[0].Deadline))
 }
 
-// Another writer's row of an executor may lack when its life began.
-func TestARowThatDoesNotTellWhenALifeBeganEndsNone(t *testing.T) {
-	untold := bornExecutor(0)
-	untold.StartedAt = 0
+// An executor's row may lack its start time. Such a row must not end the incarnation that is
+// known.
+func TestARowWithoutAStartTimeEndsNoIncarnation(t *testing.T) {
+	withoutStart := startedExecutor(0)
+	withoutStart.StartedAt = 0
 	type scenario struct {
-		testName string
-		listed   []catalog.Executor // one after the other
-		lives    int
+		testName     string
+		listed       []catalog.Executor // in this order
+		incarnations int
 	}
 	scenarios := []scenario{
-		{testName: "it is told no more", listed: []catalog.Executor{bornExecutor(0), untold}, lives: 1},
-		{testName: "it is told again", listed: []catalog.Executor{bornExecutor(0), untold, bornExecutor(0)}, lives: 1},
-		{testName: "it is told for the first time", listed: []catalog.Executor{untold, bornExecutor(0)}, lives: 1},
-		{testName: "another life is listed afterwards", listed: []catalog.Executor{bornExecutor(0), untold, nextLife(bornExecutor(0))}, lives: 2},
+		{testName: "the start time is no longer listed", listed: []catalog.Executor{startedExecutor(0), withoutStart}, incarnations: 1},
+		{testName: "the start time is listed again", listed: []catalog.Executor{startedExecutor(0), withoutStart, startedExecutor(0)}, incarnations: 1},
+		{testName: "the start time is listed for the first time", listed: []catalog.Executor{withoutStart, startedExecutor(0)}, incarnations: 1},
+		{testName: "another incarnation is listed afterwards", listed: []catalog.Executor{startedExecutor(0), withoutStart, nextIncarnation(startedExecutor(0))}, incarnations: 2},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -175,62 +178,62 @@
 			d := newDriver(c, s.listed[0])
 			d.answerHold(&s.listed[0], HoldResponse{Clock: time.Minute + d.now})
 			d.submit(testJob("job", 1, d.now), 1)
-			start := d.of(Start)[0] // keeps the former life in mind
+			start := d.takeCommands(Start)[0] // keeps the former incarnation from being forgotten
 			for _, info := range s.listed[1:] {
 				d.cell.SetExecutors([]catalog.Executor{info}, d.now)
-				d.take()
+				d.takeActions()
 			}
-			c.Assert(d.cell.executors, qt.HasLen, s.lives)
-			c.Assert(d.cell.executors[start.Executor.Incarnation()].ended, qt.Equals, s.lives > 1)
+			c.Assert(d.cell.executors, qt.HasLen, s.incarnations)
+			c.Assert(d.cell.executors[start.Executor.Incarnation()].ended, qt.Equals, s.incarnations > 1)
 		})
 	}
 }
 
-// An owner whose executors have another life that isn't listed yet doesn't know what that one
-// runs for the former owner.
-func TestATakeoverIsNotSettledBeforeTheNextLifeIsListed(t *testing.T) {
+// An owner does not know which runs of the former owner an executor's next incarnation has
+// until that one has answered.
+func TestATakeoverIsIncompleteUntilTheNextIncarnationAnswers(t *testing.T) {
 	c := qt.New(t)
-	info := bornExecutor(0)
+	info := startedExecutor(0)
 	d := newDriver(c, info)
 	d.answerHold(&info, HoldResponse{Verdict: AcceptedByOther})
 	c.Assert(d.cell.IsTakeoverComplete(d.now), qt.IsFalse)
-	next := nextLife(info)
+	next := nextIncarnation(info)
 	d.cell.SetExecutors([]catalog.Executor{next}, d.now)
-	d.take()
+	d.takeActions()
 	c.Assert(d.cell.IsTakeoverComplete(d.now), qt.IsFalse)
 	d.answerHold(&next, HoldResponse{Clock: time.Second})
 	c.Assert(d.cell.IsTakeoverComplete(d.now), qt.IsTrue)
 }
 
-// A start that nothing shows is kept for longer than the leases at an executor that may have
-// started again since it was heard last.
-func TestASilentExecutorMayHaveStartedAgain(t *testing.T) {
+// A start with an unknown outcome is retained for longer than the leases if the executor may
+// have restarted since its last answer.
+func TestAnUnresponsiveExecutorMayHaveRestarted(t *testing.T) {
 	type scenario struct {
-		testName string
-		unheard  time.Duration // before the start
-		kept     bool
+		testName      string
+		unansweredFor time.Duration // before the start
+		retained      bool
 	}
 	scenarios := []scenario{
-		{testName: "it answered a moment before", unheard: 0, kept: false},
-		{testName: "nothing was heard of it for long", unheard: shortestRestart, kept: true},
+		{testName: "it answered just before the start", unansweredFor: 0, retained: false},
+		{testName: "it has not answered for long enough to restart", unansweredFor: shortestRestart, retained: true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			d, infos := adoptedLives(c, 1)
-			d.now += s.unheard
+			d, infos := newRestartableDriver(c, 1)
+			d.now += s.unansweredFor
 			d.submit(testJob("job", 1, d.now), 1)
-			start := d.of(Start)[0]
+			start := d.takeCommands(Start)[0]
 			for range maxStartCopies {
-				d.startAnswer(start, Unanswered)
+				d.startAnswered(start, Unanswered)
 			}
 			for range maxMissedHolds {
 				d.answerHold(&infos[0], HoldResponse{Verdict: Unanswered})
 			}
 			e := d.cell.executors[infos[0].Incarnation()]
-			e.grantedUntil = 0 // its leases are over
+			e.grantedUntil = 0 // its leases have expired
 			d.cell.advance(d.now)
-			c.Assert(len(e.runs) == 1, qt.Equals, s.kept)
+			c.Assert(len(e.runs) == 1, qt.Equals, s.retained)
 		})
 	}
 }
--- a/pkg/cell/kept_test.go
+++ b/pkg/cell/kept_test.go
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// keptJob is a test job that is kept: it has no deadline. Its tasks are so long that
-// none is taken for one that stands still.
+// keptJob returns a kept job, which has no deadline. Its tasks are so long that none counts as
+// stalled.
 func keptJob(id string, tasks int, now time.Duration) *job.Job {
 	j := testJob(id, tasks, now)
 	j.Kept, j.Deadline = true, 0
@@ -19,247 +19,250 @@
 	return j
 }
 
-// listed returns a run as a hold lists it.
-func listed(start Command) RunningTask {
+// listedRun returns a run as a hold response lists it.
+func listedRun(start Command) RunningTask {
 	return RunningTask{Task: start.Task, Run: start.Run, Percent: 50}
 }
 
-// endOf returns the end of a run as a hold lists it.
-func endOf(number int64, start Command, kind EndKind) EndedTask {
+// listedEnd returns the end of a run as a hold response lists it.
+func listedEnd(number int64, start Command, kind EndKind) EndedTask {
 	return EndedTask{Number: number, Task: start.Task, Run: start.Run, Kind: kind}
 }
 
-// startKept has a kept job's only task run on the first executor, asked for at now.
-func startKept(c *qt.C, d *driver, j *job.Job) Command {
+// startOneTask submits a job of one task and accepts its start.
+func startOneTask(c *qt.C, d *driver, j *job.Job) Command {
 	d.submit(j, 1)
-	starts := d.of(Start)
+	starts := d.takeCommands(Start)
 	c.Assert(starts, qt.HasLen, 1)
-	d.startAnswer(starts[0], Accepted)
+	d.startAnswered(starts[0], Accepted)
 	return starts[0]
 }
 
-// goOn lets time pass in steps of 50 ms while the executors list what runs. It
-// returns the furthest lease that holds have set.
-func (d *driver) goOn(time time.Duration, running ...RunningTask) (furthest time.Duration) {
-	for until := d.now + time; d.now < until; {
+// runFor advances the time in steps of 50 ms while the executors list the given runs. It
+// returns the latest lease deadline that holds have set.
+func (d *driver) runFor(duration time.Duration, running ...RunningTask) (furthest time.Duration) {
+	for until := d.now + duration; d.now < until; {
 		d.tick(50 * ms)
 		furthest = max(furthest, d.answerHolds(running...))
 	}
 	return furthest
 }
 
-func TestAKeptJobGoesOnWithoutRenewals(t *testing.T) {
+// A kept job continues while its coordinator is replaced, but not without limit, and not after
+// a suspension of the owner.
+func TestAKeptJobContinuesWithoutRenewals(t *testing.T) {
 	type scenario struct {
-		testName string
-		unasked  time.Duration // since the last renewal
-		stood    bool          // the process stood still before that
-		goesOn   bool
+		testName     string
+		unrenewedFor time.Duration // since the last renewal
+		suspended    bool          // the process was suspended before
+		continues    bool
 	}
 	scenarios := []scenario{
-		{testName: "a moment", unasked: 100 * ms, goesOn: true},
-		{testName: "longer than the lease of a job", unasked: 2 * testJobLease, goesOn: true},
-		{testName: "almost as long as owners go on", unasked: keptRenewalTimeout - 100*ms, goesOn: true},
-		{testName: "longer", unasked: keptRenewalTimeout + 100*ms},
-		{testName: "longer than a lease, in a process that stood still", unasked: testJobLease, stood: true},
+		{testName: "for a moment", unrenewedFor: 100 * ms, continues: true},
+		{testName: "longer than the lease of a job", unrenewedFor: 2 * testJobLease, continues: true},
+		{testName: "almost as long as the renewal timeout", unrenewedFor: keptRenewalTimeout - 100*ms, continues: true},
+		{testName: "longer than the renewal timeout", unrenewedFor: keptRenewalTimeout + 100*ms},
+		{testName: "as long as the lease of a job, in a process that was suspended", unrenewedFor: testJobLease, suspended: true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			d := adopted(c, 1)
+			d := newAdoptedDriver(c, 1)
 			d.tick(time.Second)
-			start := startKept(c, d, keptJob("a", 1, d.now))
-			d.silent = true
-			if s.stood {
+			start := startOneTask(c, d, keptJob("a", 1, d.now))
+			d.renewalsStopped = true
+			if s.suspended {
 				d.cell.Pause(d.now + ms)
 			}
-			furthest := d.goOn(s.unasked, listed(start))
+			furthest := d.runFor(s.unrenewedFor, listedRun(start))
 			_, ended := d.finished["a"]
-			c.Assert(!ended, qt.Equals, s.goesOn)
-			if s.goesOn {
+			c.Assert(!ended, qt.Equals, s.continues)
+			if s.continues {
 				c.Assert(furthest > time.Minute+d.now+d.cell.params.Lease/2, qt.IsTrue, qt.Commentf("its lease at the executor is renewed"))
-				c.Assert(d.of(Stop), qt.HasLen, 0)
+				c.Assert(d.takeCommands(Stop), qt.HasLen, 0)
 				return
 			}
 			c.Assert(d.finished["a"].Reason, qt.Equals, ReasonNotRenewed)
-			c.Assert(d.of(Stop), qt.HasLen, 1, qt.Commentf("what runs of it is stopped"))
+			c.Assert(d.takeCommands(Stop), qt.HasLen, 1, qt.Commentf("its run is stopped"))
 		})
 	}
 }
 
-// The leases beside a kept job are those of the others.
-func TestAJobBesideAKeptOneHasItsLease(t *testing.T) {
+// A kept job on the same executor must not extend the leases of other jobs.
+func TestAJobBesideAKeptJobHasItsOwnLease(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 1)
+	d := newAdoptedDriver(c, 1)
 	d.tick(2 * time.Second)
-	kept := startKept(c, d, keptJob("kept", 1, d.now))
+	kept := startOneTask(c, d, keptJob("kept", 1, d.now))
 	j := testJob("a", 1, d.now)
 	j.Deadline, j.Steps[0].Estimate = time.Hour, time.Minute
-	start := startKept(c, d, j)
+	start := startOneTask(c, d, j)
 	d.tick(50 * ms)
 	lastRenewal := d.now
-	d.silent = true
+	d.renewalsStopped = true
 	var furthest time.Duration
 	for d.finished["a"].Kind != job.Moved {
-		c.Assert(d.now < lastRenewal+testJobLease, qt.IsTrue, qt.Commentf("it isn't given back"))
-		furthest = max(furthest, d.goOn(50*ms, listed(kept), listed(start)))
+		c.Assert(d.now < lastRenewal+testJobLease, qt.IsTrue, qt.Commentf("the job is not returned"))
+		furthest = max(furthest, d.runFor(50*ms, listedRun(kept), listedRun(start)))
 	}
 	c.Assert(furthest <= time.Minute+lastRenewal+testJobLease, qt.IsTrue)
-	c.Assert(d.of(Stop), qt.HasLen, 1)
-	c.Assert(d.goOn(200*ms, listed(kept)) > time.Minute+d.now, qt.IsTrue, qt.Commentf("the kept one goes on"))
+	c.Assert(d.takeCommands(Stop), qt.HasLen, 1)
+	c.Assert(d.runFor(200*ms, listedRun(kept)) > time.Minute+d.now, qt.IsTrue, qt.Commentf("the kept job continues"))
 	c.Assert(d.finished, qt.HasLen, 1)
 }
 
-// A run that was to be stopped is not renewed for as long as its kept job was.
-func TestARunOfAKeptJobThatIsGoneHasALease(t *testing.T) {
+// The run of a withdrawn kept job must not be renewed for longer than the lease of a job.
+func TestARunOfAWithdrawnKeptJobHasALease(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 1)
+	d := newAdoptedDriver(c, 1)
 	d.tick(time.Second)
-	start := startKept(c, d, keptJob("a", 1, d.now))
-	d.goOn(time.Second, listed(start))
+	start := startOneTask(c, d, keptJob("a", 1, d.now))
+	d.runFor(time.Second, listedRun(start))
 	d.cell.Withdraw("a", "cancelled", d.now)
-	d.take()
+	d.takeActions()
 	stopped := d.now
-	c.Assert(d.goOn(2*time.Second, listed(start)) <= time.Minute+stopped+testJobLease+50*ms, qt.IsTrue)
+	c.Assert(d.runFor(2*time.Second, listedRun(start)) <= time.Minute+stopped+testJobLease+50*ms, qt.IsTrue)
 }
 
 func TestAKeptJobHasNoDeadline(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 1)
+	d := newAdoptedDriver(c, 1)
 	d.tick(time.Second)
-	first := startKept(c, d, keptJob("a", 1, d.now))
-	second := startKept(c, d, keptJob("b", 1, d.now))
+	first := startOneTask(c, d, keptJob("a", 1, d.now))
+	second := startOneTask(c, d, keptJob("b", 1, d.now))
 	waits := keptJob("waits", 1, d.now)
-	waits.Steps[0].Estimate = 200 * ms // worth nothing after a second
+	waits.Steps[0].Estimate = 200 * ms // its answer has no value after a second
 	d.submit(waits, 1)
 	d.submit(testJob("late", 1, d.now), 1)
-	d.goOn(10*time.Second, listed(first), listed(second))
-	c.Assert(d.finished["late"].Kind, qt.Equals, job.Refused, qt.Commentf("as before"))
-	c.Assert(d.finished, qt.HasLen, 1, qt.Commentf("kept jobs are neither refused nor over"))
-	d.holdAnswer(0, HoldResponse{Clock: time.Minute + d.now, Running: []RunningTask{listed(second)}, Ended: []EndedTask{endOf(1, first, EndDone)}}, d.now)
+	d.runFor(10*time.Second, listedRun(first), listedRun(second))
+	c.Assert(d.finished["late"].Kind, qt.Equals, job.Refused, qt.Commentf("a job that is not kept has a deadline"))
+	c.Assert(d.finished, qt.HasLen, 1, qt.Commentf("kept jobs neither are refused nor expire"))
+	d.holdAnswered(0, HoldResponse{Clock: time.Minute + d.now, Running: []RunningTask{listedRun(second)}, Ended: []EndedTask{listedEnd(1, first, EndDone)}}, d.now)
 	c.Assert(d.finished["a"].Kind, qt.Equals, job.Completed)
-	c.Assert(d.of(Start), qt.HasLen, 1, qt.Commentf("the one that waited starts"))
+	c.Assert(d.takeCommands(Start), qt.HasLen, 1, qt.Commentf("the waiting job starts"))
 }
 
-// A process that stood still may have been replaced: it starts nothing of a kept job
-// before a keeper has asked again.
-func TestAfterAStandStillAKeptJobWaitsForItsKeeper(t *testing.T) {
+// A suspended process may have been replaced as the owner. It must not start tasks of a kept
+// job before a coordinator has renewed the job.
+func TestAKeptJobWaitsForItsCoordinatorAfterASuspension(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 1)
+	d := newAdoptedDriver(c, 1)
 	d.tick(time.Second)
 	d.submit(keptJob("a", 3, d.now), 1)
-	starts := d.of(Start)
+	starts := d.takeCommands(Start)
 	c.Assert(starts, qt.HasLen, 2)
-	d.startAnswer(starts[0], Accepted)
-	d.startAnswer(starts[1], Accepted)
-	d.silent = true
+	d.startAnswered(starts[0], Accepted)
+	d.startAnswered(starts[1], Accepted)
+	d.renewalsStopped = true
 	d.now += testJobLease
 	d.cell.Pause(d.now + 100*ms)
 	d.now += 200 * ms
-	d.holdAnswer(0, HoldResponse{Clock: time.Minute + d.now, Ended: []EndedTask{endOf(1, starts[0], EndDone), endOf(2, starts[1], EndDone)}}, d.now)
-	c.Assert(d.of(Start), qt.HasLen, 0)
-	d.silent = false
+	d.holdAnswered(0, HoldResponse{Clock: time.Minute + d.now, Ended: []EndedTask{listedEnd(1, starts[0], EndDone), listedEnd(2, starts[1], EndDone)}}, d.now)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0)
+	d.renewalsStopped = false
 	d.renew()
-	d.take()
-	c.Assert(d.of(Start), qt.HasLen, 1)
+	d.takeActions()
+	c.Assert(d.takeCommands(Start), qt.HasLen, 1)
 }
 
-// A keeper that died may have cancelled it.
-func TestAKeptJobThatNobodyAsksForStartsNothingMore(t *testing.T) {
+// A kept job that is no longer renewed may have been cancelled by a coordinator that died
+// since.
+func TestAnUnrenewedKeptJobStartsNoFurtherTasks(t *testing.T) {
 	type scenario struct {
-		testName string
-		unasked  time.Duration
-		starts   int
+		testName     string
+		unrenewedFor time.Duration
+		starts       int
 	}
 	scenarios := []scenario{
-		{testName: "for a moment", unasked: time.Second, starts: 1},
-		{testName: "for too long", unasked: keptStartTimeout + 50*ms},
+		{testName: "unrenewed for a moment", unrenewedFor: time.Second, starts: 1},
+		{testName: "unrenewed for too long", unrenewedFor: keptStartTimeout + 50*ms},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			d := adopted(c, 1)
+			d := newAdoptedDriver(c, 1)
 			d.tick(time.Second)
 			d.submit(keptJob("a", 3, d.now), 1)
-			starts := d.of(Start)
+			starts := d.takeCommands(Start)
 			c.Assert(starts, qt.HasLen, 2)
 			for _, start := range starts {
-				d.startAnswer(start, Accepted)
+				d.startAnswered(start, Accepted)
 			}
-			d.silent = true
-			d.goOn(s.unasked, listed(starts[0]), listed(starts[1]))
-			d.holdAnswer(0, HoldResponse{Clock: time.Minute + d.now, Running: []RunningTask{listed(starts[1])}, Ended: []EndedTask{endOf(1, starts[0], EndDone)}}, d.now)
-			c.Assert(d.of(Start), qt.HasLen, s.starts)
+			d.renewalsStopped = true
+			d.runFor(s.unrenewedFor, listedRun(starts[0]), listedRun(starts[1]))
+			d.holdAnswered(0, HoldResponse{Clock: time.Minute + d.now, Running: []RunningTask{listedRun(starts[1])}, Ended: []EndedTask{listedEnd(1, starts[0], EndDone)}}, d.now)
+			c.Assert(d.takeCommands(Start), qt.HasLen, s.starts)
 			c.Assert(d.finished, qt.HasLen, 0)
-			d.silent = false
+			d.renewalsStopped = false
 			d.renew()
-			d.take()
-			c.Assert(d.of(Start), qt.HasLen, 1-s.starts, qt.Commentf("asked for again"))
+			d.takeActions()
+			c.Assert(d.takeCommands(Start), qt.HasLen, 1-s.starts, qt.Commentf("the job is renewed again"))
 		})
 	}
 }
 
-// A task that has failed on all executors but one on trial would wait for ever.
-func TestAKeptTaskIsTriedAgainWhereItFailed(t *testing.T) {
+// A kept task must not wait forever when it has failed on all executors but one on probation.
+func TestAKeptTaskIsRetriedWhereItFailed(t *testing.T) {
 	type scenario struct {
-		testName string
-		kept     bool
-		onTrial  bool // the second executor
-		starts   int
+		testName    string
+		kept        bool
+		onProbation bool // the second executor
+		starts      int
 	}
 	scenarios := []scenario{
-		{testName: "the other executor is on trial", kept: true, onTrial: true, starts: 1},
+		{testName: "the other executor is on probation", kept: true, onProbation: true, starts: 1},
 		{testName: "the other executor is full", kept: true},
-		{testName: "a job that isn't kept", onTrial: true},
+		{testName: "a job that is not kept", onProbation: true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			d := adopted(c, 2)
+			d := newAdoptedDriver(c, 2)
 			d.tick(time.Second)
 			j := testJob("a", 1, d.now)
 			j.Kept, j.Deadline, j.MaxAttempts = s.kept, time.Hour, 5
-			start := startKept(c, d, j)
-			e, other := d.cell.executors[start.Executor.Incarnation()], d.cell.executors[testLife(1)]
+			start := startOneTask(c, d, j)
+			e, other := d.cell.executors[start.Executor.Incarnation()], d.cell.executors[testIncarnation(1)]
 			if e == other {
-				other = d.cell.executors[testLife(0)]
+				other = d.cell.executors[testIncarnation(0)]
 			}
-			if s.onTrial {
+			if s.onProbation {
 				other.health.ejection = firstEjection
 			} else {
 				other.used = other.info.Capacity
 			}
 			d.now += 100 * ms
-			d.cell.HoldAnswered(e.incarnation, HoldResponse{Clock: time.Minute + d.now, Ended: []EndedTask{endOf(1, start, EndFailed)}}, d.now, d.now)
+			d.cell.HoldAnswered(e.incarnation, HoldResponse{Clock: time.Minute + d.now, Ended: []EndedTask{listedEnd(1, start, EndFailed)}}, d.now, d.now)
 			d.tick(50 * ms)
 			d.tick(50 * ms)
-			c.Assert(d.of(Start), qt.HasLen, s.starts)
+			c.Assert(d.takeCommands(Start), qt.HasLen, s.starts)
 		})
 	}
 }
 
-// A run that stands still is found after a takeover, too.
-func TestAnAdoptedKeptRunThatStandsStillIsStopped(t *testing.T) {
+// A stalled run of a kept job must also be found after a takeover.
+func TestAStalledAdoptedKeptRunIsStopped(t *testing.T) {
 	for kept, want := range map[bool]int{true: 1, false: 0} {
 		c := qt.New(t)
 		d := newDriver(c, testExecutor(0), testExecutor(1))
 		d.now = time.Second
 		run := RunningTask{Task: "a.0.0.0", Run: firstKeptRun}
-		d.holdAnswer(0, HoldResponse{Clock: time.Minute, Running: []RunningTask{run}}, d.now)
-		d.holdAnswer(1, HoldResponse{Clock: time.Minute}, d.now)
+		d.holdAnswered(0, HoldResponse{Clock: time.Minute, Running: []RunningTask{run}}, d.now)
+		d.holdAnswered(1, HoldResponse{Clock: time.Minute}, d.now)
 		j := testJob("a", 1, d.now)
 		j.Kept, j.Deadline = kept, time.Hour
 		d.submit(j, 2)
 		for range 80 {
 			d.tick(50 * ms)
-			d.holdAnswer(0, HoldResponse{Clock: time.Minute + d.now, Running: []RunningTask{run}}, d.now)
+			d.holdAnswered(0, HoldResponse{Clock: time.Minute + d.now, Running: []RunningTask{run}}, d.now)
 		}
-		c.Assert(d.of(Stop), qt.HasLen, want)
+		c.Assert(d.takeCommands(Stop), qt.HasLen, want)
 	}
 }
 
 func TestStepsOfAKeptJobRunInOrder(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 2)
+	d := newAdoptedDriver(c, 2)
 	d.tick(time.Second)
 	j := keptJob("a", 2, d.now)
 	j.Steps = append(j.Steps, j.Steps[0], j.Steps[0])
@@ -267,28 +270,28 @@
 	d.submit(j, 1)
 	number := int64(0)
 	for step := range 3 {
-		starts := d.of(Start)
+		starts := d.takeCommands(Start)
 		c.Assert(starts, qt.HasLen, 2)
 		for i, start := range starts {
 			c.Assert(start.Task, qt.Equals, fmt.Sprintf("a.0.%d.%d", step, i))
-			d.startAnswer(start, Accepted)
+			d.startAnswered(start, Accepted)
 		}
 		for i, start := range starts {
-			c.Assert(d.of(Start), qt.HasLen, 0, qt.Commentf("tasks of step %d still run", step))
+			c.Assert(d.takeCommands(Start), qt.HasLen, 0, qt.Commentf("tasks of step %d still run", step))
 			number++
 			d.now += 10 * ms
-			answer := HoldResponse{Clock: time.Minute + d.now, Ended: []EndedTask{endOf(number, start, EndDone)}}
+			response := HoldResponse{Clock: time.Minute + d.now, Ended: []EndedTask{listedEnd(number, start, EndDone)}}
 			for _, other := range starts[i+1:] {
-				answer.Running = append(answer.Running, listed(other))
+				response.Running = append(response.Running, listedRun(other))
 			}
-			d.holdAnswer(0, answer, d.now)
+			d.holdAnswered(0, response, d.now)
 			d.tick(retainedHoldPause)
 		}
 	}
 	c.Assert(d.finished["a"].Kind, qt.Equals, job.Completed)
 }
 
-func TestWhenAKeptJobIsGivenBackAsStranded(t *testing.T) {
+func TestWhenAKeptJobIsReturnedAsStranded(t *testing.T) {
 	type scenario struct {
 		testName string
 		service  string // of the executor
@@ -300,9 +303,9 @@
 	const long, short = noExecutorTimeout + 50*ms, noExecutorTimeout - 100*ms
 	scenarios := []scenario{
 		{testName: "no executor answers", service: "service", waits: long, kept: true, want: true},
-		{testName: "not for as long", service: "service", waits: short, kept: true},
-		{testName: "there is one of another service", service: "another", answers: true, waits: long, kept: true, want: true},
-		{testName: "a job that isn't kept", service: "another", answers: true, waits: long},
+		{testName: "no executor answers, for a shorter time", service: "service", waits: short, kept: true},
+		{testName: "the only executor is of another service", service: "another", answers: true, waits: long, kept: true, want: true},
+		{testName: "a job that is not kept", service: "another", answers: true, waits: long},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -311,7 +314,7 @@
 			e.Service = s.service
 			d := newDriver(c, e)
 			if s.answers {
-				d.holdAnswer(0, HoldResponse{Clock: time.Minute}, d.now)
+				d.holdAnswered(0, HoldResponse{Clock: time.Minute}, d.now)
 			}
 			j := testJob("a", 1, d.now)
 			j.Kept, j.Deadline = s.kept, time.Hour
@@ -328,29 +331,29 @@
 	}
 }
 
-func TestAKeptJobIsStrandedOnlyOnceNothingOfItRuns(t *testing.T) {
+func TestAKeptJobIsReturnedAsStrandedOnlyWithoutRuns(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 1)
+	d := newAdoptedDriver(c, 1)
 	d.tick(time.Second)
-	d.submit(keptJob("a", 3, d.now), 1) // there is room for two
-	starts := d.of(Start)
+	d.submit(keptJob("a", 3, d.now), 1) // two of them fit on the executor
+	starts := d.takeCommands(Start)
 	c.Assert(starts, qt.HasLen, 2)
 	for _, start := range starts {
-		d.startAnswer(start, Accepted)
+		d.startAnswered(start, Accepted)
 	}
 	draining := testExecutor(0)
 	draining.Draining = true
 	d.cell.SetExecutors([]catalog.Executor{draining}, d.now)
-	d.goOn(2*noExecutorTimeout, listed(starts[0]), listed(starts[1]))
+	d.runFor(2*noExecutorTimeout, listedRun(starts[0]), listedRun(starts[1]))
 	c.Assert(d.finished, qt.HasLen, 0)
-	d.holdAnswer(0, HoldResponse{Clock: time.Minute + d.now, Ended: []EndedTask{endOf(1, starts[0], EndDone), endOf(2, starts[1], EndDone)}}, d.now)
+	d.holdAnswered(0, HoldResponse{Clock: time.Minute + d.now, Ended: []EndedTask{listedEnd(1, starts[0], EndDone), listedEnd(2, starts[1], EndDone)}}, d.now)
 	d.tick(ms)
 	outcome := d.finished["a"]
 	c.Assert(outcome.Reason, qt.Equals, ReasonStranded)
 	c.Assert(outcome.Progress, qt.HasLen, 2, qt.Commentf("the next cell runs the third task"))
 }
 
-func TestAKeptJobThatComesFromAnotherOwnerWaitsUntilATaskHasRun(t *testing.T) {
+func TestAKeptJobCountsAsWaitingUntilATaskHasRun(t *testing.T) {
 	c := qt.New(t)
 	scenarios := []struct {
 		testName string
--- a/pkg/cell/lease_test.go
+++ b/pkg/cell/lease_test.go
@@ -9,83 +9,82 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// startedOn makes a driver with a task that runs on the first of so many
-// executors, and returns its start.
+// startedOn returns a driver with a number of executors, one of which runs a task, and the
+// start of the task.
 func startedOn(c *qt.C, executors int) (*driver, Command) {
-	d := adopted(c, executors)
+	d := newAdoptedDriver(c, executors)
 	d.submit(testJob("a", 1, d.now), 1)
-	start := d.of(Start)[0]
+	start := d.takeCommands(Start)[0]
 	d.now += ms
-	d.startAnswer(start, Accepted)
+	d.startAnswered(start, Accepted)
 	return d, start
 }
 
 func (d *driver) holdUnanswered(id string) {
 	d.cell.HoldAnswered(catalog.Incarnation(id), HoldResponse{Verdict: Unanswered}, d.now, d.now)
-	d.take()
+	d.takeActions()
 }
 
-func TestLeasesOfASilentExecutorAreNotRenewed(t *testing.T) {
+func TestLeasesOfAnUnresponsiveExecutorAreNotRenewed(t *testing.T) {
 	c := qt.New(t)
 	d, start := startedOn(c, 2)
-	d.of(Hold)
+	d.takeCommands(Hold)
 	d.now += 400 * ms
 	d.holdUnanswered(start.Executor.ID)
 	for range 20 {
 		d.tick(50 * ms)
-		for _, hold := range d.of(Hold) {
+		for _, hold := range d.takeCommands(Hold) {
 			if hold.Executor.ID != start.Executor.ID {
-				continue // where the task runs again
+				continue // the one where the task runs again
 			}
 			c.Assert(hold.Deadline, qt.Equals, time.Duration(0))
 			d.holdUnanswered(hold.Executor.ID)
 		}
 	}
-	again := d.of(Start)
-	c.Assert(again, qt.HasLen, 1, qt.Commentf("the lease is over, so the task runs elsewhere"))
+	again := d.takeCommands(Start)
+	c.Assert(again, qt.HasLen, 1, qt.Commentf("the lease has expired, so the task runs elsewhere"))
 	c.Assert(again[0].Executor.ID, qt.Not(qt.Equals), start.Executor.ID)
 }
 
-func TestALeaseIsOverOnlyByTheSlowestClock(t *testing.T) {
+func TestALeaseExpiresByTheSlowestClock(t *testing.T) {
 	c := qt.New(t)
 	d, start := startedOn(c, 2)
-	hold := d.of(Hold)[0]
+	hold := d.takeCommands(Hold)[0]
 	d.holdUnanswered(start.Executor.ID)
-	// The executor's clock showed a minute when ours stood at 1 ms, and the
-	// hold may have been carried out.
-	left := hold.Deadline - time.Minute
-	d.now = left + ms
+	// The executor's clock is one minute ahead, and the hold may have been carried out.
+	leaseEnd := hold.Deadline - time.Minute
+	d.now = leaseEnd + ms
 	d.tick(5 * ms)
-	c.Assert(d.of(Start), qt.HasLen, 0, qt.Commentf("a clock 2%% slow has not reached the deadline yet"))
-	d.now = left + left/45
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0, qt.Commentf("a clock that is 2%% slow has not reached the deadline yet"))
+	d.now = leaseEnd + leaseEnd/45
 	d.tick(5 * ms)
-	c.Assert(d.of(Start), qt.HasLen, 0, qt.Commentf("the executor may be late to end what runs"))
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0, qt.Commentf("the executor takes up to StopTime to end the run"))
 	d.tick(50 * ms)
-	c.Assert(d.of(Start), qt.HasLen, 1)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 1)
 }
 
 func TestAPausedCellStartsNothing(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 1)
+	d := newAdoptedDriver(c, 1)
 	d.cell.Pause(d.now + 300*ms)
 	d.submit(testJob("a", 1, d.now), 1)
 	d.tick(299 * ms)
-	c.Assert(d.of(Start), qt.HasLen, 0)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0)
 	d.tick(ms)
-	c.Assert(d.of(Start), qt.HasLen, 1)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 1)
 }
 
-func TestAFencedOwnerGivesItsJobsBack(t *testing.T) {
+func TestAFencedOwnerReturnsItsJobs(t *testing.T) {
 	c := qt.New(t)
 	d, start := startedOn(c, 2)
 	d.submit(testJob("b", 1, d.now), 1)
-	second := d.of(Start)[0]
-	d.startAnswer(second, Fenced)
+	second := d.takeCommands(Start)[0]
+	d.startAnswered(second, Fenced)
 	c.Assert(d.cell.Fenced(), qt.IsTrue)
 	c.Assert(d.finished["a"].Kind, qt.Equals, job.Moved)
 	c.Assert(d.finished["a"].Started, qt.IsTrue)
 	c.Assert(d.finished["a"].Progress, qt.DeepEquals, []job.Progress{{Run: start.Run}})
 	d.commands = nil
 	d.tick(time.Second)
-	c.Assert(d.commands, qt.HasLen, 0, qt.Commentf("it orders nothing any more"))
+	c.Assert(d.commands, qt.HasLen, 0, qt.Commentf("a fenced owner sends no commands"))
 }
--- a/pkg/cell/lost_order_test.go
+++ b/pkg/cell/lost_commands_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// shortJob has a task of the shortest kind, whose answer is worth little after
+// shortJob returns a job with a task of the shortest kind, whose answer has little value after
 // half a second.
 func shortJob(id string, now time.Duration) *job.Job {
 	j := testJob(id, 1, now)
@@ -23,8 +23,8 @@
 		want     time.Duration
 	}
 	scenarios := []scenario{
-		{testName: "a short task, whose lost order is soon given up", estimate: 60 * ms, want: shortestLease},
-		{testName: "one of middle length", estimate: 200 * ms, want: 300 * ms},
+		{testName: "a short task, whose lost start is soon abandoned", estimate: 60 * ms, want: shortestLease},
+		{testName: "a task of medium length", estimate: 200 * ms, want: 300 * ms},
 		{testName: "a long task", estimate: 900 * ms, want: 500 * ms},
 	}
 	for _, s := range scenarios {
@@ -37,48 +37,52 @@
 
 func TestALostStartIsRepeatedSoon(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 2)
+	d := newAdoptedDriver(c, 2)
 	d.submit(shortJob("a", d.now), 1)
-	start := d.of(Start)[0]
-	d.of(Hold)
+	start := d.takeCommands(Start)[0]
+	d.takeCommands(Hold)
 	sentAt := d.now
 	d.now += 100 * ms
-	d.startAnswer(start, Unanswered)
-	c.Assert(d.of(Start), qt.HasLen, 0, qt.Commentf("it may start yet"))
+	d.startAnswered(start, Unanswered)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0, qt.Commentf("it may still start"))
 	d.now = sentAt + shortestLease + 10*ms
-	d.holdAnswer(0, HoldResponse{Clock: time.Minute + d.now}, sentAt)
-	again := d.of(Start)
-	c.Assert(again, qt.HasLen, 1, qt.Commentf("the order's time has passed"))
+	d.holdAnswered(0, HoldResponse{Clock: time.Minute + d.now}, sentAt)
+	again := d.takeCommands(Start)
+	c.Assert(again, qt.HasLen, 1, qt.Commentf("the deadline of the first start has passed"))
 	c.Assert(again[0].Run > start.Run, qt.IsTrue)
 }
 
-func TestAnUnansweredStartTakesNoOtherWorkAway(t *testing.T) {
+// A single unanswered start must not make an executor unresponsive, which would end its other
+// runs.
+func TestAnUnansweredStartDoesNotAffectOtherRuns(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 1)
+	d := newAdoptedDriver(c, 1)
 	d.submit(testJob("a", 1, d.now), 1)
-	first := d.of(Start)[0]
+	first := d.takeCommands(Start)[0]
 	d.now += ms
-	d.startAnswer(first, Accepted)
-	d.of(Hold)
+	d.startAnswered(first, Accepted)
+	d.takeCommands(Hold)
 	d.submit(testJob("b", 1, d.now), 1)
-	second := d.of(Start)[0]
+	second := d.takeCommands(Start)[0]
 	d.now += 100 * ms
-	d.startAnswer(second, Unanswered)
-	c.Assert(d.cell.executors[testLife(0)].unresponsive, qt.IsFalse, qt.Commentf("leases of a silent executor would not be renewed"))
+	d.startAnswered(second, Unanswered)
+	c.Assert(d.cell.executors[testIncarnation(0)].unresponsive, qt.IsFalse, qt.Commentf("leases of an unresponsive executor would not be renewed"))
 	d.submit(shortJob("c", d.now), 1)
-	c.Assert(d.of(Start), qt.HasLen, 0, qt.Commentf("nothing more before the executor has answered something"))
-	// It answers the hold that was waiting: a's end, and b's run.
-	d.holdAnswer(0, HoldResponse{
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0, qt.Commentf("no start before the executor has answered"))
+	// It answers the pending hold with a's end and b's run.
+	d.holdAnswered(0, HoldResponse{
 		Clock:   time.Minute + d.now,
 		Running: []RunningTask{{Task: second.Task, Run: second.Run}},
 		Ended:   []EndedTask{{Number: 1, Task: first.Task, Run: first.Run, Kind: EndDone}},
 	}, 0)
-	c.Assert(d.of(Start), qt.HasLen, 1, qt.Commentf("it gets work again"))
-	holds := d.of(Hold)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 1, qt.Commentf("the executor gets work again"))
+	holds := d.takeCommands(Hold)
 	c.Assert(holds, qt.HasLen, 1)
-	c.Assert(holds[0].Deadline > time.Minute+d.now, qt.IsTrue, qt.Commentf("and b's lease is renewed"))
+	c.Assert(holds[0].Deadline > time.Minute+d.now, qt.IsTrue, qt.Commentf("b's lease is renewed"))
 }
 
+// While calls go unanswered, a hold returns when the next end is due, so that a lost response
+// is noticed early.
 func TestHowLongAHoldWaits(t *testing.T) {
 	type scenario struct {
 		testName string
@@ -95,18 +99,18 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			d := adopted(c, 1)
+			d := newAdoptedDriver(c, 1)
 			d.submit(shortJob("a", d.now), 1)
-			d.startAnswer(d.of(Start)[0], Accepted)
+			d.startAnswered(d.takeCommands(Start)[0], Accepted)
 			if s.lossy {
 				d.cell.lossyUntil = time.Minute
 			}
-			c.Assert(d.cell.holdWait(d.cell.executors[testLife(0)], s.after), qt.Equals, s.want)
+			c.Assert(d.cell.holdWait(d.cell.executors[testIncarnation(0)], s.after), qt.Equals, s.want)
 		})
 	}
 }
 
-func TestPausesBetweenLooksAtASilentExecutor(t *testing.T) {
+func TestPausesBetweenHoldsToAnUnresponsiveExecutor(t *testing.T) {
 	type scenario struct {
 		testName string
 		missed   int
@@ -116,7 +120,7 @@
 		{testName: "a single hold may have been lost", missed: 1},
 		{testName: "the second in a row", missed: 2, want: firstRetryPause},
 		{testName: "the third", missed: 3, want: 2 * firstRetryPause},
-		{testName: "long silent", missed: 50, want: longestRetryPause},
+		{testName: "unresponsive for long", missed: 50, want: longestRetryPause},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -125,41 +129,41 @@
 	}
 }
 
-// The job of a stopped run may be handed in elsewhere 1.3 s later, while holds
-// renew the leases of everything that runs here.
+// The job of a stopped run may be resubmitted elsewhere soon, while holds renew the leases of
+// all runs on the executor. A lost stop must therefore be sent again.
 func TestALostStopIsRepeated(t *testing.T) {
 	type scenario struct {
-		testName string
-		silent   bool // the executor has missed a hold meanwhile
-		verdict  Verdict
-		want     int
+		testName     string
+		unresponsive bool // the executor has missed a hold meanwhile
+		verdict      Verdict
+		want         int
 	}
 	scenarios := []scenario{
 		{testName: "answered", verdict: Accepted},
-		{testName: "lost: at once", verdict: Unanswered, want: 1},
-		{testName: "lost at a silent executor: when it answers again", silent: true, verdict: Unanswered, want: 1},
+		{testName: "lost: sent again at once", verdict: Unanswered, want: 1},
+		{testName: "lost at an unresponsive executor: when it answers again", unresponsive: true, verdict: Unanswered, want: 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			d, start := startedOn(c, 2)
 			d.cell.Withdraw("a", "front_gone", d.now)
-			d.take()
-			stop := d.of(Stop)[0]
-			if s.silent {
+			d.takeActions()
+			stop := d.takeCommands(Stop)[0]
+			if s.unresponsive {
 				d.holdUnanswered(start.Executor.ID)
 			}
 			d.now += 80 * ms
 			d.cell.StopAnswered(stop.Executor.Incarnation(), stop.Task, stop.Run, s.verdict, 0, d.now)
-			d.take()
-			if s.silent {
-				c.Assert(d.of(Stop), qt.HasLen, 0)
+			d.takeActions()
+			if s.unresponsive {
+				c.Assert(d.takeCommands(Stop), qt.HasLen, 0)
 			}
 			d.now += ms
 			sentAt := d.now
 			d.cell.HoldAnswered(start.Executor.Incarnation(), HoldResponse{Clock: time.Minute + d.now, Running: []RunningTask{{Task: start.Task, Run: start.Run}}}, sentAt, d.now)
-			d.take()
-			again := d.of(Stop)
+			d.takeActions()
+			again := d.takeCommands(Stop)
 			c.Assert(again, qt.HasLen, s.want)
 			for _, stop := range again {
 				c.Assert(stop.Task, qt.Equals, start.Task)
--- a/pkg/cell/pacing_test.go
+++ b/pkg/cell/pacing_test.go
@@ -8,63 +8,64 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// pacedDriver plays a cell whose host's link carries so many bytes a second.
+// pacedDriver returns a driver of a cell whose host has a link of the given bandwidth in bytes
+// per second.
 func pacedDriver(c *qt.C, executors int, rate float64) *driver {
-	d := adopted(c, executors)
+	d := newAdoptedDriver(c, executors)
 	d.cell.pacer = newPacer(rate)
 	return d
 }
 
 func TestStartsArePacedByTheLink(t *testing.T) {
 	type scenario struct {
-		testName string
-		rate     float64 // bytes a second
-		text     int     // bytes of the job's text
-		tasks    int
-		want     int // starts that go out at once
+		testName  string
+		rate      float64 // bytes per second
+		specBytes int     // size of the job's spec
+		tasks     int
+		want      int // starts that are sent at once
 	}
 	scenarios := []scenario{
-		{testName: "no bound is known", text: 4000, tasks: 8, want: 8},
-		{testName: "a fat link", rate: 125e6, text: 4000, tasks: 8, want: 8},
-		{testName: "a thin link, long texts", rate: 250e3, text: 2400, tasks: 8, want: 4},
-		{testName: "a thin link, short texts", rate: 250e3, text: 300, tasks: 8, want: 8},
-		{testName: "one is always under way", rate: 1, text: 4000, tasks: 8, want: 1},
+		{testName: "unknown bandwidth", specBytes: 4000, tasks: 8, want: 8},
+		{testName: "a fast link", rate: 125e6, specBytes: 4000, tasks: 8, want: 8},
+		{testName: "a slow link, long specs", rate: 250e3, specBytes: 2400, tasks: 8, want: 4},
+		{testName: "a slow link, short specs", rate: 250e3, specBytes: 300, tasks: 8, want: 8},
+		{testName: "one start is always in flight", rate: 1, specBytes: 4000, tasks: 8, want: 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			d := pacedDriver(c, 8, s.rate)
 			j := testJob("a", s.tasks, d.now)
-			j.Spec = strings.Repeat("x", s.text)
+			j.Spec = strings.Repeat("x", s.specBytes)
 			d.submit(j, 1)
-			starts := d.of(Start)
+			starts := d.takeCommands(Start)
 			c.Assert(starts, qt.HasLen, s.want)
 			if s.want == s.tasks {
 				return
 			}
-			d.startAnswer(starts[0], Accepted)
-			c.Assert(d.of(Start), qt.HasLen, 1, qt.Commentf("an answer lets the next one go"))
+			d.startAnswered(starts[0], Accepted)
+			c.Assert(d.takeCommands(Start), qt.HasLen, 1, qt.Commentf("the next start is sent after an answer"))
 		})
 	}
 }
 
-// The bytes of a start count until it is answered, whatever has become of its job.
+// A start counts against the link's bandwidth until it is answered, even if its job has ended.
 func TestStartsOfEndedJobsFreeTheLink(t *testing.T) {
 	c := qt.New(t)
 	d := pacedDriver(c, 8, 1)
 	d.submit(testJob("a", 1, d.now), 1)
-	start := d.of(Start)[0]
+	start := d.takeCommands(Start)[0]
 	d.cell.Withdraw("a", "caller_left", d.now)
-	d.take()
+	d.takeActions()
 	c.Assert(d.cell.pacer.full(), qt.IsTrue)
-	d.startAnswer(start, Accepted)
+	d.startAnswered(start, Accepted)
 	c.Assert(d.cell.pacer.full(), qt.IsFalse)
 	c.Assert(d.cell.pacer.starts, qt.HasLen, 0)
 }
 
 func TestJobsBehindAFullLinkAreRefusedAtOnce(t *testing.T) {
 	c := qt.New(t)
-	d := pacedDriver(c, 8, 10e3) // 0.04 s a start of 400 bytes
+	d := pacedDriver(c, 8, 10e3) // 0.04 s for a start of 400 bytes
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 		j := testJob(id, 8, d.now)
 		j.Spec = strings.Repeat("x", 100)
--- a/pkg/cell/parts_test.go
+++ b/pkg/cell/parts_test.go
@@ -7,10 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// startNames returns the names of the tasks that were ordered.
+// startNames returns the task names of the pending starts.
 func (d *driver) startNames() []string {
 	var names []string
-	for _, start := range d.of(Start) {
+	for _, start := range d.takeCommands(Start) {
 		names = append(names, start.Task)
 	}
 	return names
@@ -18,7 +18,7 @@
 
 func TestAPartRunsItsOwnTasks(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 2)
+	d := newAdoptedDriver(c, 2)
 	parts := testJob("a", 4, d.now).Split([]int{2, 2})
 	d.submit(parts[1], 1)
 	c.Assert(d.startNames(), qt.DeepEquals, []string{"a.0.0.2", "a.0.0.3"})
@@ -26,8 +26,8 @@
 	c.Assert(d.cell.Progress("a"), qt.HasLen, 0)
 }
 
-// A part is refused like a job. When others of its job have run, its front hands
-// it in again as a started one, of which "not run" isn't said.
+// A part is refused like a job. If other parts of the job have run, its front submits it as
+// one that has started, which expires and is not reported as not run.
 func TestWhichPartsAreRefused(t *testing.T) {
 	type scenario struct {
 		testName string
@@ -36,13 +36,13 @@
 	}
 	scenarios := []scenario{
 		{testName: "for the first time", epoch: 1, want: job.Refused},
-		{testName: "again, as others have run", epoch: 2, want: job.Expired},
+		{testName: "again, after others have run", epoch: 2, want: job.Expired},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			d := adopted(c, 1)
-			d.fill(c)
+			d := newAdoptedDriver(c, 1)
+			d.fillExecutor(c)
 			part := testJob("a", 4, d.now).Split([]int{2, 2})[1]
 			d.submit(part, s.epoch)
 			d.tick(part.Deadline - d.now + ms)
@@ -57,23 +57,23 @@
 	d := newDriver(c, testExecutor(0))
 	part := testJob("a", 4, d.now).Split([]int{2, 2})[1]
 	d.submit(part, 2)
-	d.holdAnswer(0, HoldResponse{Clock: d.now, Running: []RunningTask{{Task: "a.0.0.3", Run: 1}}}, d.now)
+	d.holdAnswered(0, HoldResponse{Clock: d.now, Running: []RunningTask{{Task: "a.0.0.3", Run: 1}}}, d.now)
 	w := d.cell.jobs[part.ID]
 	c.Assert(w.task(job.TaskKey{Index: 3}).current, qt.IsNotNil)
 	c.Assert(w.task(job.TaskKey{Index: 0}), qt.IsNil)
 }
 
-// A front has died, and the caller has sent the job again by one that splits it
-// otherwise: what runs goes on for the new parts, and nothing starts twice.
-func TestPartsThatAreSplitOtherwiseTakeRunsOver(t *testing.T) {
+// After the death of a front, its caller may resubmit the job to one that splits it
+// differently. The new parts take over the runs, and no task starts twice.
+func TestPartsOfADifferentSplitTakeOverRuns(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 4)
+	d := newAdoptedDriver(c, 4)
 	old := testJob("a", 4, d.now).Split([]int{3, 1})
 	for _, part := range old {
 		d.submit(part, 1)
 	}
-	for _, start := range d.of(Start) {
-		d.startAnswer(start, Accepted)
+	for _, start := range d.takeCommands(Start) {
+		d.startAnswered(start, Accepted)
 	}
 	c.Assert(d.cell.jobs, qt.HasLen, 2)
 	d.commands = nil
@@ -82,7 +82,7 @@
 		d.submit(part, 1)
 	}
 	c.Assert(d.startNames(), qt.HasLen, 0)
-	c.Assert(d.of(Stop), qt.HasLen, 0)
+	c.Assert(d.takeCommands(Stop), qt.HasLen, 0)
 	c.Assert(d.finished[old[0].ID].Reason, qt.Equals, "superseded")
 	for index := range 4 {
 		w, task := d.cell.findTask(job.TaskName("a", job.TaskKey{Index: index}))
@@ -94,8 +94,8 @@
 
 func TestAPartThatTakesOverAStartedOneIsNotRefused(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 1)
-	d.fill(c)
+	d := newAdoptedDriver(c, 1)
+	d.fillExecutor(c)
 	j := testJob("a", 4, d.now)
 	d.submit(j.Split([]int{3, 1})[0], 2)
 	fresh := j.Split([]int{2, 2})[0]
--- a/pkg/cell/policies_test.go
+++ b/pkg/cell/policies_test.go
@@ -8,15 +8,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// rankedJob makes a job of a route with so many tasks of 200 ms.
+// rankedJob returns a job of a route with a number of tasks of 200 ms.
 func rankedJob(id, route string, priority, tasks int, received time.Duration) *job.Job {
 	j := testJob(id, tasks, received)
 	j.Route, j.Priority = route, priority
 	return j
 }
 
-// usualJobs teaches an order that the usual job of a route has four tasks.
-func usualJobs(order Order, routes ...string) {
+// observeUsualJobs lets an order observe a usual job of four tasks on each route.
+func observeUsualJobs(order Order, routes ...string) {
 	for _, route := range routes {
 		order.Observe(rankedJob("usual", route, 0, 4, 0))
 	}
@@ -51,17 +51,17 @@
 			makeOrder, err := Orders.Get(s.order)
 			c.Assert(err, qt.IsNil)
 			order := makeOrder()
-			usualJobs(order, "r", "s")
-			standing := func(j *job.Job) Candidate {
+			observeUsualJobs(order, "r", "s")
+			candidate := func(j *job.Job) Candidate {
 				return newJobState(Handover{Job: j, Epoch: 1}, newTaskTimes(), 0).candidate(0)
 			}
-			c.Assert(order.Rank(standing(s.first)).compare(order.Rank(standing(s.second))) < 0, qt.IsTrue)
+			c.Assert(order.Rank(candidate(s.first)).compare(order.Rank(candidate(s.second))) < 0, qt.IsTrue)
 		})
 	}
 }
 
-// A route's mean follows its jobs, so that the same job ranks as a large one of
-// small jobs and as a small one of large jobs.
+// The mean of a route follows its jobs, so that the same job ranks as a large one among small
+// jobs and as a small one among large jobs.
 func TestValueOrderLearnsTheUsualJobOfARoute(t *testing.T) {
 	c := qt.New(t)
 	order := newValueOrder()
--- a/pkg/cell/order_test.go
+++ b/pkg/cell/queue_test.go
@@ -9,21 +9,21 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// fill occupies an executor of 16 cores with two tasks of a long job.
-func (d *driver) fill(c *qt.C) {
+// fillExecutor occupies an executor of 16 cores with two tasks of a long job.
+func (d *driver) fillExecutor(c *qt.C) {
 	long := testJob("long", 2, d.now)
 	long.Deadline = d.now + time.Minute
 	d.submit(long, 1)
-	for _, start := range d.of(Start) {
-		d.startAnswer(start, Accepted)
+	for _, start := range d.takeCommands(Start) {
+		d.startAnswered(start, Accepted)
 	}
 	c.Assert(d.finished, qt.HasLen, 0)
 }
 
 func TestAJobBehindMoreWorkThanItsDeadlineAllowsIsRefused(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 1)
-	d.fill(c)
+	d := newAdoptedDriver(c, 1)
+	d.fillExecutor(c)
 	for _, id := range []string{"b", "c", "d"} {
 		d.submit(testJob(id, 2, d.now), 1)
 	}
@@ -32,14 +32,14 @@
 	d.submit(last, 1)
 	d.tick(ms)
 	c.Assert(d.finished["last"].Kind, qt.Equals, job.Refused)
-	c.Assert(d.finished["last"].RetryAfter > 0, qt.IsTrue, qt.Commentf("with a time to come back"))
+	c.Assert(d.finished["last"].RetryAfter > 0, qt.IsTrue, qt.Commentf("with a time to retry"))
 	c.Assert(d.finished, qt.HasLen, 1)
 }
 
-func TestALongQueueIsGoneThroughNowAndThen(t *testing.T) {
+func TestALongQueueIsScannedAtIntervals(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 1)
-	d.fill(c)
+	d := newAdoptedDriver(c, 1)
+	d.fillExecutor(c)
 	for i := range 2 * longQueue {
 		j := testJob(fmt.Sprintf("job%d", i), 1, d.now)
 		j.Deadline = d.now + time.Hour
@@ -48,23 +48,23 @@
 	name := func(index int) string { return job.TaskName("long", job.TaskKey{Index: index}) }
 	end := func(number int64, index int, running ...RunningTask) {
 		ends := []EndedTask{{Number: number, Task: name(index), Run: 1, Kind: EndDone}}
-		d.holdAnswer(0, HoldResponse{Clock: time.Minute + d.now, Ended: ends, Running: running}, d.now)
+		d.holdAnswered(0, HoldResponse{Clock: time.Minute + d.now, Ended: ends, Running: running}, d.now)
 	}
 	d.now += 10 * ms
 	end(1, 0, RunningTask{Task: name(1), Run: 1})
-	c.Assert(d.of(Start), qt.HasLen, 1)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 1)
 	d.now += ms
 	end(2, 1)
-	c.Assert(d.of(Start), qt.HasLen, 0, qt.Commentf("the queue was gone through a moment ago"))
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0, qt.Commentf("the queue was scanned a moment ago"))
 	d.tick(placePause)
-	c.Assert(d.of(Start), qt.HasLen, 1)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 1)
 }
 
-// The caller waits for a minute, but an answer is worth something for 1.2 s only.
-func TestAJobWhoseAnswerWouldBeWorthNothingIsRefusedAtOnce(t *testing.T) {
+// The caller waits for a minute, but the answer has value for 1.2 s only.
+func TestAJobWhoseAnswerWouldHaveNoValueIsRefusedAtOnce(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 1)
-	d.fill(c)
+	d := newAdoptedDriver(c, 1)
+	d.fillExecutor(c)
 	for _, id := range []string{"b", "c", "d"} {
 		j := testJob(id, 2, d.now)
 		j.Deadline = d.now + time.Minute
@@ -74,7 +74,7 @@
 	last.Deadline = d.now + time.Minute
 	d.submit(last, 1)
 	d.tick(ms)
-	c.Assert(d.finished, qt.HasLen, 0, qt.Commentf("it can be done in time yet"))
+	c.Assert(d.finished, qt.HasLen, 0, qt.Commentf("it can still be done in time"))
 	d.tick(600 * ms)
 	c.Assert(d.finished["last"].Kind, qt.Equals, job.Refused)
 	c.Assert(d.finished["last"].Started, qt.IsFalse)
--- a/pkg/cell/slowdown_test.go
+++ b/pkg/cell/slowdown_test.go
@@ -8,11 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// These tests answer a deployment whose executors differ for good: a third of them takes
-// 1.7 times as long as the middle third, and a third 0.6 times, and each ends eight or
-// nine runs a second.
-
-func TestPaceOfAnExecutor(t *testing.T) {
+// The expected run time has to follow executors that are permanently slower or faster than
+// others.
+func TestSlowdownOfAnExecutor(t *testing.T) {
 	type scenario struct {
 		testName string
 		took     []time.Duration // for an expected 100 ms
@@ -28,10 +26,10 @@
 	scenarios := []scenario{
 		{testName: "nothing is known", want: 100 * ms},
 		{testName: "too few runs", took: repeated(167*ms, minSlowdownRuns-1), want: 100 * ms},
-		{testName: "a slow one", took: repeated(167*ms, minSlowdownRuns), want: 167 * ms},
-		{testName: "a fast one", took: repeated(63*ms, 50), want: 63 * ms},
+		{testName: "a slow executor", took: repeated(167*ms, minSlowdownRuns), want: 167 * ms},
+		{testName: "a fast executor", took: repeated(63*ms, 50), want: 63 * ms},
 		{testName: "one task that hung", took: append(repeated(100*ms, 19), time.Minute), want: 108 * ms},
-		{testName: "one that has become slow", took: append(repeated(63*ms, 50), repeated(167*ms, 3*slowdownWindow)...), want: 159 * ms},
+		{testName: "a fast executor that has become slow", took: append(repeated(63*ms, 50), repeated(167*ms, 3*slowdownWindow)...), want: 159 * ms},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -47,15 +45,15 @@
 
 func TestAFastExecutorIsPreferred(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 3)
+	d := newAdoptedDriver(c, 3)
 	for range minSlowdownRuns {
-		d.cell.executors[testLife(0)].slowdown.observe(100*ms, 167*ms)
-		d.cell.executors[testLife(1)].slowdown.observe(100*ms, 100*ms)
-		d.cell.executors[testLife(2)].slowdown.observe(100*ms, 63*ms)
+		d.cell.executors[testIncarnation(0)].slowdown.observe(100*ms, 167*ms)
+		d.cell.executors[testIncarnation(1)].slowdown.observe(100*ms, 100*ms)
+		d.cell.executors[testIncarnation(2)].slowdown.observe(100*ms, 63*ms)
 	}
 	d.submit(testJob("a", 1, d.now), 1)
-	start := d.of(Start)
+	start := d.takeCommands(Start)
 	c.Assert(start, qt.HasLen, 1)
 	c.Assert(start[0].Executor.ID, qt.Equals, executorID(2))
-	near(c, d.cell.executors[testLife(2)].runs[start[0].Task].estimate, 126*ms)
+	near(c, d.cell.executors[testIncarnation(2)].runs[start[0].Task].estimate, 126*ms)
 }
--- a/pkg/cell/takeovers_test.go
+++ b/pkg/cell/takeovers_test.go
@@ -8,28 +8,19 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Tasks ran twice at once, on executors of two domains, after a front had died
-// together with the owner that had its job. The next owner adopted the runs, to
-// keep them for the grace of orphans, and died before that was over; the one after
-// it adopted them again, with a grace of its own, while holds renewed their
-// leases. 1.3 s after the front's death its caller sent the job again, by a front
-// that knew nothing of the first sending and handed it to another cell. The cause:
-// each owner counted from its own claim how long runs without a job may go on, so
-// that nothing bounded the sum over several owners.
-
-// takeover is an owner that claims the cell after the one before has died.
+// takeover is an owner that claims the cell after the former one has died.
 type takeover struct {
-	after time.Duration // the death of the one before
-	lives time.Duration // until it dies too; 0 for ever
+	after     time.Duration // time since the death of the former owner
+	diesAfter time.Duration // time since its claim; 0 if it does not die
 }
 
 // chain is a cell whose owners die one after the other.
 type chain struct {
 	*world
-	neighbour *modelJob // of a front that lives, on the same executor; nil for none
+	neighbour *modelJob // of a live front, on the same executor; nil for none
 }
 
-// newChain makes a cell of one executor, whose clock is as slow as it may be.
+// newChain returns a cell of one executor, whose clock runs at the slowest allowed rate.
 func newChain() *chain {
 	w := &world{}
 	w.random = rand.New(rand.NewPCG(1, 1))
@@ -40,7 +31,7 @@
 	return &chain{world: w}
 }
 
-func (c *chain) passTime(d time.Duration) {
+func (c *chain) advance(d time.Duration) {
 	for until := c.now + d; c.now < until; {
 		c.now += exploreStep
 		c.renew()
@@ -60,21 +51,24 @@
 
 func (c *chain) newest() *modelOwner { return c.owners[len(c.owners)-1] }
 
-// takeOver lets the newest owner die and another one claim.
+// takeOver ends the newest owner and has another one claim the cell.
 func (c *chain) takeOver(t takeover) {
 	c.newest().dead = true
-	c.passTime(t.after)
+	c.advance(t.after)
 	c.newOwner()
 	if c.neighbour != nil {
 		c.handOn(c.neighbour, nil)
 	}
-	if t.lives > 0 {
-		c.passTime(t.lives)
+	if t.diesAfter > 0 {
+		c.advance(t.diesAfter)
 	}
 }
 
+// When a front dies together with the owner, the runs of its jobs must end before its callers
+// resubmit them, through any number of takeovers. The time for which owners retain runs
+// without a job has to be limited over all owners together.
 func TestNoRunOutlivesItsFrontThroughTakeovers(t *testing.T) {
-	first, next, last := takeover{after: 250 * ms, lives: 350 * ms}, takeover{after: 500 * ms, lives: 350 * ms}, takeover{after: 500 * ms}
+	first, next, last := takeover{after: 250 * ms, diesAfter: 350 * ms}, takeover{after: 500 * ms, diesAfter: 350 * ms}, takeover{after: 500 * ms}
 	type scenario struct {
 		testName  string
 		takeovers []takeover
@@ -85,45 +79,45 @@
 		{testName: "two", takeovers: []takeover{first, last}},
 		{testName: "three", takeovers: []takeover{first, next, last}},
 		{testName: "four", takeovers: []takeover{first, next, next, last}},
-		{testName: "one, beside a run that is waited for", takeovers: []takeover{{after: 250 * ms}}, neighbour: true},
-		{testName: "two, beside a run that is waited for", takeovers: []takeover{first, last}, neighbour: true},
-		{testName: "four, beside a run that is waited for", takeovers: []takeover{first, next, next, last}, neighbour: true},
+		{testName: "one, beside a run of a live front", takeovers: []takeover{{after: 250 * ms}}, neighbour: true},
+		{testName: "two, beside a run of a live front", takeovers: []takeover{first, last}, neighbour: true},
+		{testName: "four, beside a run of a live front", takeovers: []takeover{first, next, next, last}, neighbour: true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			play := newChain()
-			play.passTime(50 * ms)
+			model := newChain()
+			model.advance(50 * ms)
 			if s.neighbour {
-				play.neighbour = play.submitLong("beside")
+				model.neighbour = model.submitLong("beside")
 			}
-			left := play.submitLong("left")
-			play.passTime(300 * ms)
-			executor := play.executors[0]
-			c.Assert(executor.runs["left.0.0.0"].number, qt.Equals, int64(1), qt.Commentf("it runs when its front dies"))
+			orphaned := model.submitLong("left")
+			model.advance(300 * ms)
+			executor := model.executors[0]
+			c.Assert(executor.runs["left.0.0.0"].number, qt.Equals, int64(1), qt.Commentf("the task runs when its front dies"))
 
-			diedAt := play.now
-			left.frontless = true
-			var lasted time.Duration
-			play.watch(func() {
-				executor.pass(play.now)
+			diedAt := model.now
+			orphaned.frontless = true
+			var lastAliveAfter time.Duration
+			model.watch(func() {
+				executor.pass(model.now)
 				if _, runs := executor.runs["left.0.0.0"]; runs {
-					lasted = play.now - diedAt
+					lastAliveAfter = model.now - diedAt
 				}
 			})
 			for _, t := range s.takeovers {
-				play.takeOver(t)
+				model.takeOver(t)
 			}
-			play.passTime(3 * time.Second)
-			c.Assert(lasted < callerResends, qt.IsTrue, qt.Commentf("its run went on for %s after the front's death", lasted))
+			model.advance(3 * time.Second)
+			c.Assert(lastAliveAfter < callerResends, qt.IsTrue, qt.Commentf("the run continued for %s after the front's death", lastAliveAfter))
 		})
 	}
 }
 
-// watch has look called as time passes from now on.
-func (c *chain) watch(look func()) {
+// watch calls observe as time passes from now on.
+func (c *chain) watch(observe func()) {
 	c.after(0, func() {
-		look()
-		c.watch(look)
+		observe()
+		c.watch(observe)
 	})
 }
--- a/pkg/cell/times_test.go
+++ b/pkg/cell/times_test.go
@@ -8,13 +8,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// near reports whether a time is within a tenth of another.
+// near asserts that a time is within a tenth of another.
 func near(c *qt.C, got, want time.Duration) {
 	c.Helper()
 	c.Assert(got > want*9/10 && got < want*11/10, qt.IsTrue, qt.Commentf("got %s, want about %s", got, want))
 }
 
-func TestTaskTimesLearn(t *testing.T) {
+func TestExpectedTaskTimes(t *testing.T) {
 	type scenario struct {
 		testName string
 		runs     int
@@ -27,7 +27,7 @@
 		{testName: "few runs: as estimated", runs: minSamples - 1, took: func(int, time.Duration) time.Duration { return 400 * ms }, estimate: 50 * ms, want: 50 * ms},
 		{testName: "good estimates", runs: 200, took: func(_ int, estimate time.Duration) time.Duration { return estimate }, estimate: 50 * ms, want: 50 * ms},
 		{testName: "estimates that are half of the time", runs: 200, took: func(_ int, estimate time.Duration) time.Duration { return 2 * estimate }, estimate: 50 * ms, want: 100 * ms},
-		{testName: "estimates that tell nothing", runs: 200, took: func(int, time.Duration) time.Duration { return 70 * ms }, estimate: 300 * ms, want: 70 * ms},
+		{testName: "estimates unrelated to the run times", runs: 200, took: func(int, time.Duration) time.Duration { return 70 * ms }, estimate: 300 * ms, want: 70 * ms},
 		{testName: "one in ten tasks hangs", runs: 400, took: func(i int, estimate time.Duration) time.Duration {
 			if i > minSamples && i%10 == 0 {
 				return time.Minute
@@ -74,10 +74,10 @@
 	qt.Assert(t, len(times.routes) <= maxRoutes, qt.IsTrue)
 }
 
-// A job with a far too low estimate is still one that can make its objective.
-func TestAJobIsRankedByTheTimeThatItsTasksWillTake(t *testing.T) {
+// A job whose estimate is far too low must still rank as one that can meet its objective.
+func TestAJobIsRankedByItsExpectedTaskTimes(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 1)
+	d := newAdoptedDriver(c, 1)
 	for range 100 {
 		d.cell.times.observe("route", 20*ms, 200*ms)
 		d.cell.times.observe("route", 200*ms, 200*ms)
@@ -85,7 +85,7 @@
 	j := testJob("low", 1, d.now)
 	j.Steps[0].Estimate = 20 * ms
 	d.submit(j, 1)
-	// By its estimate it would have 220 ms, of which 210 are over.
+	// By its estimate, 210 of its 220 ms would be over.
 	c.Assert(d.cell.jobs["low"].candidate(d.now+190*ms).Tier, qt.Equals, tierOnTime)
 	near(c, d.cell.jobs["low"].chain, 200*ms)
 }
--- a/pkg/cell/unclear_test.go
+++ b/pkg/cell/unclear_test.go
@@ -7,43 +7,38 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Tasks ran twice at once, by orders of one owner: executors carried starts out and
-// answered them by something that the protocol doesn't name, as an error of their own.
-// The owner took it that nothing had been done, dropped the run and started the task
-// elsewhere at once. Of 400 plays of the explorer with such answers 378 had such a task.
-// Here owners get answers that don't say whether an order was carried out, and refusals of
-// orders that have to be carried out some time.
-
-func TestAnUnclearStartIsSentAgainAtOnce(t *testing.T) {
+// An unclear answer does not say whether the start was carried out. If the task started
+// elsewhere at once, it could run twice.
+func TestAnUnclearStartIsResentAtOnce(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 4)
+	d := newAdoptedDriver(c, 4)
 	d.submit(shortJob("a", d.now), 1)
-	first := d.of(Start)[0]
+	first := d.takeCommands(Start)[0]
 	for range maxStartCopies - 1 {
 		d.now += ms
-		d.startAnswer(first, Unclear)
-		again := d.of(Start)
+		d.startAnswered(first, Unclear)
+		again := d.takeCommands(Start)
 		c.Assert(again, qt.HasLen, 1)
-		c.Assert(again[0], qt.DeepEquals, first, qt.Commentf("the executor must know it as the same start"))
+		c.Assert(again[0], qt.DeepEquals, first, qt.Commentf("the executor must recognize it as the same start"))
 	}
 	d.now += ms
-	d.startAnswer(first, Unclear)
-	c.Assert(d.of(Start), qt.HasLen, 0, qt.Commentf("it may run"))
+	d.startAnswered(first, Unclear)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0, qt.Commentf("the task may be running"))
 	e := d.cell.executors[first.Executor.Incarnation()]
-	c.Assert(e.health.onProbation(), qt.IsTrue, qt.Commentf("an executor that misanswers all gets no more work"))
+	c.Assert(e.health.onProbation(), qt.IsTrue, qt.Commentf("an executor whose answers are all unclear gets no more work"))
 }
 
 func TestOneUnclearStartEjectsNoExecutor(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 4)
+	d := newAdoptedDriver(c, 4)
 	d.submit(shortJob("a", d.now), 1)
-	start := d.of(Start)[0]
+	start := d.takeCommands(Start)[0]
 	e := d.cell.executors[start.Executor.Incarnation()]
 	d.now += ms
-	d.startAnswer(start, Unclear)
-	c.Assert(e.usable(d.now), qt.IsFalse, qt.Commentf("it gets nothing more before it has said something"))
+	d.startAnswered(start, Unclear)
+	c.Assert(e.usable(d.now), qt.IsFalse, qt.Commentf("it gets no start before a clear answer"))
 	d.now += ms
-	d.startAnswer(start, Accepted)
+	d.startAnswered(start, Accepted)
 	c.Assert(e.usable(d.now), qt.IsTrue)
 	c.Assert(e.runs[start.Task].state, qt.Equals, running)
 }
@@ -52,101 +47,101 @@
 	type scenario struct {
 		testName string
 		after    time.Duration // the start
-		answer   func(start Command) HoldResponse
+		response func(start Command) HoldResponse
 		want     int
 	}
 	none := func(Command) HoldResponse { return HoldResponse{} }
 	scenarios := []scenario{
-		{testName: "not listed, but it may start yet", after: 50 * ms, answer: none},
-		{testName: "not listed after its deadline", after: shortestLease + 10*ms, answer: none, want: 1},
-		{testName: "listed as running", after: shortestLease + 10*ms, answer: func(start Command) HoldResponse {
+		{testName: "not listed, but it may still start", after: 50 * ms, response: none},
+		{testName: "not listed after its deadline", after: shortestLease + 10*ms, response: none, want: 1},
+		{testName: "listed as running", after: shortestLease + 10*ms, response: func(start Command) HoldResponse {
 			return HoldResponse{Running: []RunningTask{{Task: start.Task, Run: start.Run}}}
 		}},
-		{testName: "listed as done", after: 50 * ms, answer: func(start Command) HoldResponse {
+		{testName: "listed as done", after: 50 * ms, response: func(start Command) HoldResponse {
 			return HoldResponse{Ended: []EndedTask{{Number: 1, Task: start.Task, Run: start.Run, Kind: EndDone}}}
 		}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			d := adopted(c, 4)
+			d := newAdoptedDriver(c, 4)
 			d.submit(shortJob("a", d.now), 1)
-			start := d.of(Start)[0]
+			start := d.takeCommands(Start)[0]
 			sentAt := d.now
-			d.unclear(start)
-			c.Assert(d.of(Start), qt.HasLen, 0)
+			d.answerUnclear(start)
+			c.Assert(d.takeCommands(Start), qt.HasLen, 0)
 			d.now = sentAt + s.after
-			answer := s.answer(start)
-			answer.Clock = minuteOn(d)
-			d.cell.HoldAnswered(start.Executor.Incarnation(), answer, d.now, d.now)
-			d.take()
-			again := d.of(Start)
+			response := s.response(start)
+			response.Clock = clockOf(d)
+			d.cell.HoldAnswered(start.Executor.Incarnation(), response, d.now, d.now)
+			d.takeActions()
+			again := d.takeCommands(Start)
 			c.Assert(again, qt.HasLen, s.want)
 			for _, other := range again {
 				c.Assert(other.Run > start.Run, qt.IsTrue)
-				c.Assert(other.Executor.ID, qt.Not(qt.Equals), start.Executor.ID, qt.Commentf("that one is out"))
+				c.Assert(other.Executor.ID, qt.Not(qt.Equals), start.Executor.ID, qt.Commentf("the executor is ejected"))
 			}
 		})
 	}
 }
 
-// unclear answers all copies of a start by nothing that says whether it was carried out.
-func (d *driver) unclear(start Command) {
+// answerUnclear gives an unclear answer to all copies of a start.
+func (d *driver) answerUnclear(start Command) {
 	for range maxStartCopies {
 		d.now += ms
-		d.startAnswer(start, Unclear)
-		d.of(Start)
+		d.startAnswered(start, Unclear)
+		d.takeCommands(Start)
 	}
 }
 
-// A stop that was asked for while its start was unclear must not be forgotten with it.
-func TestAStopAfterAnUnclearStartIsOrdered(t *testing.T) {
+// A stop that is requested while its start is unresolved must not be lost.
+func TestAStopAfterAnUnclearStartIsSent(t *testing.T) {
 	c := qt.New(t)
-	d := adopted(c, 4)
+	d := newAdoptedDriver(c, 4)
 	d.submit(shortJob("a", d.now), 1)
-	start := d.of(Start)[0]
+	start := d.takeCommands(Start)[0]
 	d.cell.Withdraw("a", "caller_gone", d.now)
-	d.take()
-	c.Assert(d.of(Stop), qt.HasLen, 0, qt.Commentf("it could overtake the start"))
+	d.takeActions()
+	c.Assert(d.takeCommands(Stop), qt.HasLen, 0, qt.Commentf("it could overtake the start"))
 	d.now += ms
-	d.startAnswer(start, Unclear)
-	c.Assert(d.of(Start), qt.HasLen, 0)
-	c.Assert(d.of(Stop), qt.HasLen, 1)
+	d.startAnswered(start, Unclear)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 0)
+	c.Assert(d.takeCommands(Stop), qt.HasLen, 1)
 }
 
-// The run of a stop that wasn't carried out goes on, and a task that was stopped for being
-// behind waits for its end.
+// A run continues if its stop was not carried out, and the task of a stopped straggler waits
+// for its end.
 func TestAStopThatWasNotCarriedOutIsRepeated(t *testing.T) {
 	for _, verdict := range []Verdict{Unhealthy, Rejected, Unclear, NoRoom, Late, Outdated} {
 		t.Run(verdict.String(), func(t *testing.T) {
 			c := qt.New(t)
 			d, start := startedOn(c, 2)
 			d.cell.Withdraw("a", "front_gone", d.now)
-			d.take()
-			stop := d.of(Stop)[0]
+			d.takeActions()
+			stop := d.takeCommands(Stop)[0]
 			for range 3 {
 				d.now += ms
 				d.cell.StopAnswered(stop.Executor.Incarnation(), stop.Task, stop.Run, verdict, 0, d.now)
-				d.take()
-				c.Assert(d.of(Stop), qt.HasLen, 0, qt.Commentf("one that refuses at once isn't flooded"))
+				d.takeActions()
+				c.Assert(d.takeCommands(Stop), qt.HasLen, 0, qt.Commentf("an executor that refuses at once is not flooded"))
 				d.now += 5 * ms
-				d.cell.HoldAnswered(start.Executor.Incarnation(), HoldResponse{Clock: minuteOn(d), Running: []RunningTask{{Task: start.Task, Run: start.Run}}}, d.now, d.now)
-				d.take()
-				again := d.of(Stop)
-				c.Assert(again, qt.HasLen, 1, qt.Commentf("the run still goes on"))
+				d.cell.HoldAnswered(start.Executor.Incarnation(), HoldResponse{Clock: clockOf(d), Running: []RunningTask{{Task: start.Task, Run: start.Run}}}, d.now, d.now)
+				d.takeActions()
+				again := d.takeCommands(Stop)
+				c.Assert(again, qt.HasLen, 1, qt.Commentf("the run continues"))
 				c.Assert(again[0].Run, qt.Equals, start.Run)
 			}
 			d.now += ms
 			d.cell.StopAnswered(stop.Executor.Incarnation(), stop.Task, stop.Run, Accepted, 0, d.now)
-			d.cell.HoldAnswered(start.Executor.Incarnation(), HoldResponse{Clock: minuteOn(d), Running: []RunningTask{{Task: start.Task, Run: start.Run}}}, d.now, d.now)
-			d.take()
-			c.Assert(d.of(Stop), qt.HasLen, 0, qt.Commentf("it was carried out"))
+			d.cell.HoldAnswered(start.Executor.Incarnation(), HoldResponse{Clock: clockOf(d), Running: []RunningTask{{Task: start.Task, Run: start.Run}}}, d.now, d.now)
+			d.takeActions()
+			c.Assert(d.takeCommands(Stop), qt.HasLen, 0, qt.Commentf("the stop was carried out"))
 		})
 	}
 }
 
-// Holds that aren't carried out renew no lease, whatever they are answered by. The runs
-// are over with their leases, and no sooner.
+// Holds that are not carried out renew no lease, whatever their verdict. The runs count as
+// ended when their leases have expired, and not before.
 func TestRunsEndWithTheirLeasesWhenHoldsAreNotCarriedOut(t *testing.T) {
 	for _, verdict := range []Verdict{Unhealthy, Rejected, Unclear, Unanswered} {
 		t.Run(verdict.String(), func(t *testing.T) {
@@ -157,25 +152,25 @@
 			var again []Command
 			for d.now < 2*time.Second && len(again) == 0 {
 				d.tick(5 * ms)
-				for _, hold := range d.of(Hold) {
+				for _, hold := range d.takeCommands(Hold) {
 					if hold.Executor.ID == start.Executor.ID {
 						c.Assert(hold.Deadline <= e.grantedUntil, qt.IsTrue)
 						d.cell.HoldAnswered(start.Executor.Incarnation(), HoldResponse{Verdict: verdict}, d.now, d.now)
-						d.take()
+						d.takeActions()
 					}
 				}
-				again = d.of(Start)
+				again = d.takeCommands(Start)
 			}
 			c.Assert(again, qt.HasLen, 1)
 			c.Assert(again[0].Run > start.Run, qt.IsTrue)
-			c.Assert(again[0].Executor.ID, qt.Not(qt.Equals), start.Executor.ID, qt.Commentf("a lease there couldn't be renewed"))
-			c.Assert(e.clock.lowerBound(d.now) > over, qt.IsTrue, qt.Commentf("not before its leases are over"))
-			c.Logf("it starts again %s after its first start", d.now)
+			c.Assert(again[0].Executor.ID, qt.Not(qt.Equals), start.Executor.ID, qt.Commentf("leases there could not be renewed"))
+			c.Assert(e.clock.lowerBound(d.now) > over, qt.IsTrue, qt.Commentf("not before its leases have expired"))
+			c.Logf("the task starts again %s after its first start", d.now)
 		})
 	}
 }
 
-func TestOneUnclearHoldIsNoSilentExecutor(t *testing.T) {
+func TestOneUnclearHoldDoesNotMakeAnExecutorUnresponsive(t *testing.T) {
 	c := qt.New(t)
 	d, start := startedOn(c, 2)
 	e := d.cell.executors[start.Executor.Incarnation()]
@@ -187,38 +182,39 @@
 	c.Assert(e.unresponsive, qt.IsTrue)
 }
 
-// An executor whose answer hides runs isn't adopted, and runs that it lists may have leases
-// of the former owner's.
-func TestRunsOfAnExecutorThatHidOthersLastAsLongAsTheFormerOwnersLeases(t *testing.T) {
+// An executor whose response has unreadable runs is not adopted, and the runs that it lists
+// may have leases of the former owner.
+func TestRunsBesideUnreadableOnesMayLastAsLongAsTheFormerOwnersLeases(t *testing.T) {
 	c := qt.New(t)
 	d := newDriver(c, testExecutor(0), testExecutor(1))
-	d.holdAnswer(1, HoldResponse{Clock: minuteOn(d)}, d.now)
+	d.holdAnswered(1, HoldResponse{Clock: clockOf(d)}, d.now)
 	d.submit(testJob("a", 1, d.now), 2)
-	d.tick(testJobLease - 10*ms) // the former owner may have reached the other one meanwhile
+	d.tick(testJobLease - 10*ms) // the former owner may have reached the other executor meanwhile
 	listedAt := d.now
-	d.holdAnswer(0, HoldResponse{Clock: minuteOn(d), Running: []RunningTask{{Task: "a.0.0.0", Run: 1}}, UnreadableRuns: 1}, d.now)
-	d.cell.HoldAnswered(testLife(0), HoldResponse{Verdict: Unanswered}, d.now, d.now)
-	d.take()
+	d.holdAnswered(0, HoldResponse{Clock: clockOf(d), Running: []RunningTask{{Task: "a.0.0.0", Run: 1}}, UnreadableRuns: 1}, d.now)
+	d.cell.HoldAnswered(testIncarnation(0), HoldResponse{Verdict: Unanswered}, d.now, d.now)
+	d.takeActions()
 	for d.now < listedAt+d.cell.params.LongestLease {
-		c.Assert(d.of(Start), qt.HasLen, 0, qt.Commentf("%s after the list: the former owner's lease may go on", d.now-listedAt))
+		c.Assert(d.takeCommands(Start), qt.HasLen, 0, qt.Commentf("%s after the list: the former owner's lease may still be in effect", d.now-listedAt))
 		d.tick(10 * ms)
 	}
 	d.tick(100 * ms)
-	c.Assert(d.of(Start), qt.HasLen, 1)
+	c.Assert(d.takeCommands(Start), qt.HasLen, 1)
 }
 
-// One that has said nothing of use to its last order is asked, though nothing runs there.
-func TestADoubtfulExecutorIsAskedThoughNothingRunsThere(t *testing.T) {
+// An executor whose state is unknown after its last command gets a hold, although no run is
+// known there.
+func TestAnExecutorInAnUnknownStateGetsAHoldWithoutRuns(t *testing.T) {
 	c := qt.New(t)
 	d, start := startedOn(c, 1)
-	d.of(Hold)
+	d.takeCommands(Hold)
 	d.now += 5 * ms
 	d.cell.HoldAnswered(start.Executor.Incarnation(), HoldResponse{
-		Clock: minuteOn(d), Ended: []EndedTask{{Number: 1, Task: start.Task, Run: start.Run, Kind: EndDone}},
+		Clock: clockOf(d), Ended: []EndedTask{{Number: 1, Task: start.Task, Run: start.Run, Kind: EndDone}},
 	}, d.now, d.now)
-	d.take()
-	c.Assert(d.of(Hold), qt.HasLen, 0)
+	d.takeActions()
+	c.Assert(d.takeCommands(Hold), qt.HasLen, 0)
 	d.now += 25 * ms
-	d.overdue(start, 0) // a copy
-	c.Assert(d.of(Hold), qt.HasLen, 1)
+	d.markOverdue(start, 0) // a copy of the start
+	c.Assert(d.takeCommands(Hold), qt.HasLen, 1)
 }
