--- a/pkg/job/job.go
+++ b/pkg/job/job.go
@@ -1,5 +1,5 @@
-// Package job holds the types of jobs whose tasks run under leases: what a
-// caller submits, how its tasks are named, and how it ended.
+// Package job holds the types of jobs whose tasks run under leases: the caller's
+// submission, the names of its tasks and its outcome.
 package job
 
 import (
@@ -8,19 +8,17 @@
 	"time"
 )
 
-// Resources is what a task asks for, or what an executor has.
+// Resources are the needs of a task or the capacity of an executor.
 type Resources struct {
 	CPU      int64 // thousandths of a core
 	MemoryMB int64
 	GPU      int64
 }
 
-// Add returns the sum of both.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{CPU: r.CPU + o.CPU, MemoryMB: r.MemoryMB + o.MemoryMB, GPU: r.GPU + o.GPU}
 }
 
-// Sub returns r less o.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{CPU: r.CPU - o.CPU, MemoryMB: r.MemoryMB - o.MemoryMB, GPU: r.GPU - o.GPU}
 }
@@ -30,47 +28,47 @@
 	return o.CPU <= r.CPU && o.MemoryMB <= r.MemoryMB && o.GPU <= r.GPU
 }
 
-// Step is a set of like tasks.
+// Step is a set of identical tasks.
 type Step struct {
 	Count        int
 	Needs        Resources     // of each task
-	Estimate     time.Duration // a rough guess of a task's time; 0 when unknown
+	Estimate     time.Duration // the caller's estimate of a task's run time; 0 when unknown
 	After        []int         // earlier steps whose tasks must all be done first
 	Constraint   string        // label that the executor must have; empty for none
 	Affinity     string        // label of the rack that holds the data; empty for none
-	AntiAffinity int           // tasks of the step on one executor at most; 0 for no limit
+	AntiAffinity int           // most tasks of the step on one executor; 0 for no limit
 }
 
-// Job is a caller's job in the product's own terms.
+// Job is a caller's job.
 type Job struct {
-	ID          string // chosen by the caller; names the job for good
-	Route       string // name of the route that it came by
+	ID          string // chosen by the caller, unique and permanent
+	Route       string // name of the route that the request matched
 	Service     string // whose executors run its tasks
-	Priority    int    // 0 comes first
-	MaxAttempts int    // ends by failure that a task may have
-	Spec        string // handed to every task
+	Priority    int    // 0 is the highest
+	MaxAttempts int    // number of failures after which a task is not retried
+	Spec        string // passed to every task
 	Steps       []Step
 	Received    time.Duration // on the clock of the process that holds this value
-	Deadline    time.Duration // the caller waits no longer
-	Stretch     float64       // of the longest chain of work, in the time for a good answer
-	Target      time.Duration // added to that time
+	Deadline    time.Duration // until when the caller waits
+	Stretch     float64       // factor on the critical path in the objective
+	Target      time.Duration // added to the objective
 	Part        Part          // set when the value is a part of a job
-	Kept        bool          // it runs to its end whether or not anybody waits, and has no deadline
+	Kept        bool          // a kept job runs to completion whether or not its caller waits, and has no deadline
 }
 
-// Part says which tasks of a job of one step belong to a part of it. The parts
-// of a job go to owners as jobs of their own, each with an ID of its own.
+// Part identifies the tasks of a part of a single-step job. Each part is sent to an
+// owner as a job with an ID of its own.
 type Part struct {
-	Whole string // id of the whole job; empty for a whole job
-	First int    // index in the whole job of the part's first task
-	Of    int    // tasks of the whole job
+	Whole string // id of the parent job; empty when the job is no part
+	First int    // index in the parent job of the part's first task
+	Of    int    // number of tasks of the parent job
 }
 
-// partSeparator stands between the id of a job and the tasks of a part. Parts of
-// the same job that other fronts have cut otherwise have other ids.
+// partSeparator separates the id of the parent job from the range of a part's tasks.
+// Parts of the same job that are split differently by other fronts have other ids.
 const partSeparator = "/"
 
-// Split returns the parts of a job of one step, of so many tasks each.
+// Split returns the parts of a single-step job, with counts tasks each.
 func (j *Job) Split(counts []int) []*Job {
 	parts := make([]*Job, 0, len(counts))
 	first := 0
@@ -86,13 +84,14 @@
 	return parts
 }
 
-// WholeIDOf returns the id of the whole job for the id of a job or of a part.
+// WholeIDOf returns the id of the parent job for the id of a part, and the id of
+// any other job as it is.
 func WholeIDOf(id string) string {
-	whole, _, _ := strings.Cut(id, partSeparator)
-	return whole
+	parent, _, _ := strings.Cut(id, partSeparator)
+	return parent
 }
 
-// WholeID returns the id that the caller chose.
+// WholeID returns the id that the caller chose: that of the parent job for a part.
 func (j *Job) WholeID() string {
 	if j.Part.Whole != "" {
 		return j.Part.Whole
@@ -100,10 +99,9 @@
 	return j.ID
 }
 
-// IsPart reports whether the value is a part of a job.
 func (j *Job) IsPart() bool { return j.Part.Whole != "" }
 
-// TaskName returns the name under which executors know a task.
+// TaskName returns the name of a task at executors.
 func (j *Job) TaskName(key TaskKey) string { return TaskName(j.WholeID(), key) }
 
 // TaskCount returns the number of tasks over all steps.
@@ -115,12 +113,12 @@
 	return count
 }
 
-// LateFactor is how many times its objective an answer may take and still be
-// worth something, by the users' accounting.
+// LateFactor is the multiple of a job's objective after which its answer has no
+// value to the caller.
 const LateFactor = 3
 
-// UsefulUntil returns until when an answer is worth something to the caller, for
-// a longest chain of work.
+// UsefulUntil returns until when an answer has value to the caller, given the length
+// of the job's critical path.
 func (j *Job) UsefulUntil(chain time.Duration) time.Duration {
 	until := j.Received + LateFactor*j.Objective(chain)
 	if j.Kept {
@@ -129,10 +127,10 @@
 	return min(j.Deadline, until)
 }
 
-// UnknownEstimate stands for the time of a task whose caller gave no guess.
+// UnknownEstimate is the expected run time of a task without an estimate.
 const UnknownEstimate = 200 * time.Millisecond
 
-// TaskTime returns the expected time of a task of the step.
+// TaskTime returns the expected run time of a task of the step.
 func (s *Step) TaskTime() time.Duration {
 	if s.Estimate > 0 {
 		return s.Estimate
@@ -144,7 +142,7 @@
 // core x milliseconds.
 func (s *Step) TaskWork() int64 { return s.Needs.CPU * s.TaskTime().Milliseconds() }
 
-// Work returns the expected work of the job, of the whole job for a part, in
+// Work returns the expected work of the job, or of the parent job for a part, in
 // thousandths of a core x milliseconds.
 func (j *Job) Work() int64 {
 	if j.IsPart() {
@@ -157,38 +155,36 @@
 	return total
 }
 
-// TaskKey names a task within its job.
+// TaskKey identifies a task within its job.
 type TaskKey struct {
 	Step  int
 	Index int
 }
 
-// TaskName returns the name under which executors know a task of a job that
-// runs once: ID.0.STEP.INDEX.
+// TaskName returns the name of a task at executors: ID.0.STEP.INDEX.
 func TaskName(id string, key TaskKey) string {
 	return id + ".0." + strconv.Itoa(key.Step) + "." + strconv.Itoa(key.Index)
 }
 
-// Progress is what an owner tells the next one of a task.
+// Progress is the state of a task that one owner hands over to the next.
 type Progress struct {
 	Key      TaskKey
 	Done     bool
 	Failures int
 	Run      int64 // highest run number used
-	Crashes  int   // executors that have crashed under it
+	Crashes  int   // executors that crashed while they ran it
 }
 
-// Kind says how a job ended at an owner.
+// Kind is the way in which a job ended at an owner.
 type Kind uint8
 
-// The ways in which a job ends at an owner.
 const (
 	Completed Kind = iota + 1 // every task is done
-	Failed                    // a task has failed as often as it may
-	Refused                   // nothing ran, and nothing of it will
-	Expired                   // the deadline came after a task may have started
-	Moved                     // the owner gave the cell up; hand the job to the next
-	Lost                      // no owner can be asked; tasks may run until their leases end
+	Failed                    // a task has failed MaxAttempts times
+	Refused                   // no task has run, and none will
+	Expired                   // the deadline passed after a task may have started
+	Moved                     // the owner released the cell; the job must be sent to the next owner
+	Lost                      // no owner is reachable; tasks may run until their leases end
 )
 
 var kindNames = [...]string{"none", "completed", "failed", "refused", "expired", "moved", "lost"}
@@ -201,29 +197,29 @@
 	return "unknown"
 }
 
-// Outcome is the end of a job at an owner.
+// Outcome is the result of a job at an owner.
 type Outcome struct {
 	Kind       Kind
 	Reason     string // for logs
 	RetryAfter time.Duration
-	Started    bool          // a task of it may have started
-	Chain      time.Duration // the longest chain of work as the owner expected it; 0 when not told
+	Started    bool          // a task may have started
+	Chain      time.Duration // the length of the critical path that the owner expected; 0 when unknown
 	Progress   []Progress
 }
 
-// Objective returns the time from its receipt within which an answer is a good
-// one, for a longest chain of work.
+// Objective returns the time from the job's receipt within which its answer is on
+// time, given the length of its critical path.
 func (j *Job) Objective(chain time.Duration) time.Duration {
 	return time.Duration(j.Stretch*float64(chain)) + j.Target
 }
 
-// LongestChain returns the time that the job takes with room for everything,
-// by the caller's estimates.
+// LongestChain returns the length of the job's critical path by the caller's
+// estimates: its run time with unlimited capacity.
 func (j *Job) LongestChain() time.Duration {
 	return j.LongestChainOf(func(step int) time.Duration { return j.Steps[step].Estimate })
 }
 
-// LongestChainOf is LongestChain with other times of the steps' tasks.
+// LongestChainOf is LongestChain with run times per step from taskTime.
 func (j *Job) LongestChainOf(taskTime func(step int) time.Duration) time.Duration {
 	chains := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
