--- a/pkg/jobwire/jobwire.go
+++ b/pkg/jobwire/jobwire.go
@@ -1,5 +1,5 @@
-// Package jobwire translates jobs of leased tasks to and from the form in which hosts
-// hand them to each other and in which the rows of kept jobs hold them.
+// Package jobwire converts jobs to and from the protobuf messages that hosts exchange
+// and that are stored in the rows of kept jobs.
 package jobwire
 
 import (
@@ -9,7 +9,8 @@
 	"github.com/foxcroft/foxcroft/pkg/peerpb"
 )
 
-// ToDispatch makes the message that hands a job to the owner of a cell.
+// ToDispatch returns the message that sends a job to the owner of a cell. Times are
+// sent relative to now, as clocks of different processes are not comparable.
 func ToDispatch(j *job.Job, cellName string, epoch int, progress []job.Progress, settle, now time.Duration) *peerpb.Dispatch {
 	m := &peerpb.Dispatch{
 		Id:          j.ID,
@@ -54,7 +55,7 @@
 	return m
 }
 
-// FromDispatch makes the job of a message that arrived at now.
+// FromDispatch returns the job of a message that arrived at now.
 func FromDispatch(m *peerpb.Dispatch, now time.Duration) *job.Job {
 	received := now - microseconds(m.AgeUs)
 	j := &job.Job{
@@ -92,7 +93,7 @@
 	return step
 }
 
-// ToProgress makes the message of what is known of a job's tasks.
+// ToProgress converts the progress of a job's tasks to its message.
 func ToProgress(progress []job.Progress) []*peerpb.TaskProgress {
 	var ms []*peerpb.TaskProgress
 	for _, p := range progress {
@@ -104,7 +105,7 @@
 	return ms
 }
 
-// FromProgress reads what is known of a job's tasks.
+// FromProgress converts the message of the progress of a job's tasks.
 func FromProgress(ms []*peerpb.TaskProgress) []job.Progress {
 	var progress []job.Progress
 	for _, m := range ms {
