--- a/pkg/jobapi/jobapi.go
+++ b/pkg/jobapi/jobapi.go
@@ -1,4 +1,4 @@
-// Package jobapi holds the JSON shapes and headers of the caller interface,
+// Package jobapi holds the JSON types and paths of the caller interface,
 // which docs/API.md documents.
 package jobapi
 
@@ -28,7 +28,7 @@
 	Service    string            `json:"service"`
 	Team       string            `json:"team"`
 	Class      string            `json:"class,omitempty"`
-	DeadlineMS int64             `json:"deadline_ms,omitempty"` // from the receipt
+	DeadlineMS int64             `json:"deadline_ms,omitempty"` // counted from the job's receipt
 	Tasks      []json.RawMessage `json:"tasks"`
 }
 
@@ -42,11 +42,12 @@
 	NotRun       bool         `json:"not_run"` // true: no task ran, and none will under this id
 	RetryAfterMS int64        `json:"retry_after_ms,omitempty"`
 	Results      []Result     `json:"results,omitempty"`
-	Home         string       `json:"home,omitempty"`         // for the next submissions
-	HomeAddress  string       `json:"home_address,omitempty"` // of the home's primary, for callers that may reach it
+	Home         string       `json:"home,omitempty"`         // the replica pair to use for the next submissions
+	HomeAddress  string       `json:"home_address,omitempty"` // of the pair's primary, for callers that can reach it
 }
 
-// Home is the reply to a request for a home.
+// Home is the reply to a request for a home, the replica pair that stores a
+// caller's jobs.
 type Home struct {
 	Home        string `json:"home"`
 	HomeAddress string `json:"home_address"`
@@ -82,7 +83,7 @@
 	return err
 }
 
-// NewAnswer makes the reply for an answer.
+// NewAnswer converts an answer to its reply.
 func NewAnswer(id string, a *once.Answer) *Answer {
 	reply := &Answer{
 		ID:           id,
@@ -103,7 +104,7 @@
 	return reply
 }
 
-// Answer returns the answer that a reply carries.
+// Answer converts the reply to its answer.
 func (a *Answer) Answer() *once.Answer {
 	answer := &once.Answer{
 		Outcome:    once.ParseOutcome(a.Outcome),
--- a/pkg/jobapi/status.go
+++ b/pkg/jobapi/status.go
@@ -7,10 +7,10 @@
 	Incarnation string            `json:"incarnation"`
 	Version     uint64            `json:"config_version"`
 	Leaving     bool              `json:"leaving"`
-	Jobs        int               `json:"jobs"`         // under way
-	IDs         int               `json:"ids"`          // remembered
-	CPUSeconds  float64           `json:"cpu_seconds"`  // spent by the process
-	MemoryBytes uint64            `json:"memory_bytes"` // taken from the system
+	Jobs        int               `json:"jobs"`         // in progress
+	IDs         int               `json:"ids"`          // job ids on record
+	CPUSeconds  float64           `json:"cpu_seconds"`  // used by the process
+	MemoryBytes uint64            `json:"memory_bytes"` // obtained from the operating system
 	Peers       []PeerStatus      `json:"peers"`
 	Pools       []PoolStatus      `json:"pools"`
 	Messages    map[string]uint64 `json:"peer_messages"` // sent, by class
