--- a/pkg/tables/tables.go
+++ b/pkg/tables/tables.go
@@ -1,6 +1,6 @@
-// Package tables holds what the product asks of the platform's transactional
-// tables for state of its own: rows of bytes in tables and parts, written under
-// conditions. An adapter implements Store.
+// Package tables defines the interface to the platform's transactional tables:
+// rows of bytes, grouped into tables and parts, that are written under conditions.
+// An adapter implements Store.
 package tables
 
 import (
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// MostEntries is how many entries a transaction holds at most, conditions
-// included, by the platform's limit.
+// MostEntries is the platform's limit on the entries of a transaction, conditions
+// included.
 const MostEntries = 100
 
-// Row is a row of a table. Within a table and a part the key names it.
+// Row is a row of a table. Its key is unique within a table and part.
 type Row struct {
 	Table   string
 	Key     string
@@ -27,12 +27,12 @@
 	Version uint64
 }
 
-// Transaction is written whole or not at all. All its entries lie in one part.
+// Transaction is written atomically. All its entries are in one part.
 type Transaction struct {
 	Part   string
 	Expect []Condition
-	Put    []Row       // their versions aren't read
-	Remove []Condition // their versions aren't read
+	Put    []Row       // versions are ignored
+	Remove []Condition // versions are ignored
 }
 
 // Entries returns how many entries count towards MostEntries.
@@ -42,26 +42,26 @@
 type Result struct {
 	Version   uint64        // of all rows written
 	Now       time.Duration // the store's steady clock
-	Conflicts []Row         // with an error of kind errkind.Conflict: the rows of Expect as they are; absent ones are left out
+	Conflicts []Row         // with an error of kind errkind.Conflict: the current rows of Expect, without absent ones
 }
 
-// Page is a piece of a part of a table, its keys in rising byte order.
+// Page is a range of the rows of a part of a table, in ascending byte order of keys.
 type Page struct {
 	Rows []Row
-	More bool // further rows follow after the last one
+	More bool // the part has further rows
 	Now  time.Duration
 }
 
 // Store is the platform's table service. Implementations are safe for concurrent
-// use. An error of kind errkind.PlatformMaybe says that a transaction may have been
-// done, or may be done seconds later if its conditions still hold; one of kind
-// errkind.PlatformDown that nothing was done.
+// use. An error of kind errkind.PlatformMaybe means that a transaction may have been
+// committed, or may be committed seconds later if its conditions still hold; one of
+// kind errkind.PlatformDown means that nothing was committed.
 type Store interface {
-	// Commit writes a transaction. An error of kind errkind.Conflict says that a
+	// Commit writes a transaction. An error of kind errkind.Conflict means that a
 	// condition doesn't hold and nothing was written.
 	Commit(ctx context.Context, t Transaction) (Result, error)
-	// Read returns the rows of a part from a key on, as many as an answer holds.
+	// Read returns a page of the rows of a part, starting at the key from.
 	Read(ctx context.Context, table, part, from string) (Page, error)
-	// ReadRow returns one row, or false when it is absent.
+	// ReadRow returns a row, or false when it is absent.
 	ReadRow(ctx context.Context, table, part, key string) (Row, bool, error)
 }
