--- a/pkg/traffic/meter.go
+++ b/pkg/traffic/meter.go
@@ -1,5 +1,5 @@
-// Package traffic counts the bytes that a host sends and receives, by purpose,
-// and tells how much of its link they take.
+// Package traffic counts the bytes that a host sends and receives, by purpose, and
+// limits the rate at which connections are read.
 package traffic
 
 import (
@@ -13,18 +13,17 @@
 // The purposes of traffic.
 const (
 	Store     Purpose = iota // lists, configurations and rows
-	Peers                    // heartbeats, news and jobs between hosts
-	Executors                // orders and holds
+	Peers                    // heartbeats, announcements and jobs between hosts
+	Executors                // start, stop and hold requests
 	Callers                  // jobs and their answers
 	purposeCount
 )
 
 var purposeNames = [purposeCount]string{"store", "peers", "executors", "callers"}
 
-// String returns the name under which a purpose is counted.
+// String returns the name of the purpose in metrics.
 func (p Purpose) String() string { return purposeNames[p] }
 
-// Purposes returns all purposes.
 func Purposes() []Purpose { return []Purpose{Store, Peers, Executors, Callers} }
 
 // Counter counts the bytes of one purpose.
@@ -33,13 +32,13 @@
 	out atomic.Uint64
 }
 
-// In returns the bytes received.
+// In returns the number of bytes received.
 func (c *Counter) In() uint64 { return c.in.Load() }
 
-// Out returns the bytes sent.
+// Out returns the number of bytes sent.
 func (c *Counter) Out() uint64 { return c.out.Load() }
 
-// Conn counts the bytes of a connection. A nil counter counts nothing.
+// Conn wraps a connection to count its bytes. A nil counter returns conn itself.
 func (c *Counter) Conn(conn net.Conn) net.Conn {
 	if c == nil {
 		return conn
@@ -47,7 +46,7 @@
 	return &countedConn{Conn: conn, counter: c}
 }
 
-// Listener counts the bytes of the connections that a listener accepts.
+// Listener wraps a listener to count the bytes of the connections that it accepts.
 func (c *Counter) Listener(listener net.Listener) net.Listener {
 	return &countedListener{Listener: listener, counter: c}
 }
@@ -57,10 +56,8 @@
 	counters [purposeCount]Counter
 }
 
-// NewMeter makes a meter that has counted nothing.
 func NewMeter() *Meter { return &Meter{} }
 
-// Of returns the counter of a purpose.
 func (m *Meter) Of(p Purpose) *Counter { return &m.counters[p] }
 
 type countedConn struct {
--- a/pkg/traffic/meter_test.go
+++ b/pkg/traffic/meter_test.go
@@ -39,7 +39,7 @@
 	c.Assert(served.Of(Callers).Out(), qt.Equals, uint64(5))
 }
 
-func TestNoCounterCountsNothing(t *testing.T) {
+func TestNilCounterReturnsTheConnection(t *testing.T) {
 	var none *Counter
 	client, server := net.Pipe()
 	defer client.Close()
--- a/pkg/traffic/pace.go
+++ b/pkg/traffic/pace.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// pacedChunk is how much of a paced connection is read at once, and so how much
-// of it can be ahead of other bytes on the link: 16 ms on one of 2 Mbit/s.
+// pacedChunk is the most bytes that one read of a paced connection returns. It bounds
+// how long other traffic on a slow link waits for a paced connection.
 const pacedChunk = 4 << 10
 
-// Pace bounds the rate at which connections are read, so that a long answer
-// leaves room on a thin link for short ones: its sender is held up when nobody
-// reads. The connections that share a Pace share its rate.
+// Pace limits the rate at which connections are read, so that a long response leaves
+// bandwidth on a slow link for short ones: TCP flow control slows its sender down.
+// Connections with the same Pace share its rate.
 type Pace struct {
-	rate  float64 // bytes a second; 0 for no bound
+	rate  float64 // bytes per second; 0 for no limit
 	sleep func(time.Duration)
 	now   func() time.Time
 
-	mu   sync.Mutex
-	free time.Time // when what has been read so far should have come
+	mu        sync.Mutex
+	busyUntil time.Time // when the bytes read so far would have arrived at the rate
 }
 
-// NewPace makes a Pace of so many bytes a second; 0 for no bound.
+// NewPace returns a Pace of rate bytes per second; 0 for no limit.
 func NewPace(rate float64) *Pace {
 	return &Pace{rate: rate, sleep: time.Sleep, now: time.Now}
 }
 
-// Conn paces the reading of a connection.
+// Conn wraps a connection to limit the rate at which it is read.
 func (p *Pace) Conn(conn net.Conn) net.Conn {
 	if p.rate <= 0 {
 		return conn
@@ -35,17 +35,17 @@
 	return &pacedConn{Conn: conn, pace: p}
 }
 
-// took returns how long to wait after so many bytes were read. What wasn't used
-// before a pause of the connections is lost, but for one chunk.
-func (p *Pace) took(bytes int) time.Duration {
+// delayAfter returns how long to wait after a read. Unused bandwidth accumulates up to
+// one chunk only.
+func (p *Pace) delayAfter(bytes int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	if credit := now.Add(-p.timeOf(pacedChunk)); p.free.Before(credit) {
-		p.free = credit
+	if credit := now.Add(-p.timeOf(pacedChunk)); p.busyUntil.Before(credit) {
+		p.busyUntil = credit
 	}
-	p.free = p.free.Add(p.timeOf(bytes))
-	return p.free.Sub(now)
+	p.busyUntil = p.busyUntil.Add(p.timeOf(bytes))
+	return p.busyUntil.Sub(now)
 }
 
 func (p *Pace) timeOf(bytes int) time.Duration {
@@ -60,7 +60,7 @@
 // Read implements net.Conn.
 func (c *pacedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p[:min(len(p), pacedChunk)])
-	if wait := c.pace.took(n); wait > 0 {
+	if wait := c.pace.delayAfter(n); wait > 0 {
 		c.pace.sleep(wait)
 	}
 	return n, err
--- a/pkg/traffic/pace_test.go
+++ b/pkg/traffic/pace_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// stream is a connection from which as much can be read as is asked for.
+// stream is a connection whose reads fill the whole buffer.
 type stream struct{ net.Conn }
 
 func (stream) Read(p []byte) (int, error) { return len(p), nil }
@@ -21,9 +21,9 @@
 		want     time.Duration
 	}
 	scenarios := []scenario{
-		{testName: "no bound", reads: 100},
-		{testName: "one chunk goes at once", rate: 100 << 10, reads: 1},
-		{testName: "the rate holds from then on", rate: 100 << 10, reads: 26, want: time.Second},
+		{testName: "no limit", reads: 100},
+		{testName: "the first chunk is read without a delay", rate: 100 << 10, reads: 1},
+		{testName: "later chunks are read at the rate", rate: 100 << 10, reads: 26, want: time.Second},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
