--- a/pkg/common/bench_test.go
+++ b/pkg/common/bench_test.go
@@ -2,13 +2,12 @@
 
 import "testing"
 
-// sink takes lines and forgets them. io.Discard would have the logger skip
-// them.
+// sink discards lines. With io.Discard the logger skips formatting them.
 type sink struct{}
 
 func (sink) Write(p []byte) (int, error) { return len(p), nil }
 
-// BenchmarkLogLine measures a line with the fields of a cell's notice.
+// BenchmarkLogLine logs a line with the fields of a cell's task_started event.
 func BenchmarkLogLine(b *testing.B) {
 	logger, err := NewLogger(sink{}, "info")
 	if err != nil {
--- a/pkg/common/clock.go
+++ b/pkg/common/clock.go
@@ -8,70 +8,71 @@
 	"golang.org/x/sys/unix"
 )
 
-// apartTolerance is how far the time of day may move against the steady clock before a
-// clock looks whether the machine was suspended. A time of day that is slewed moves by half
-// a millisecond a second, and a look costs a few system calls.
-const apartTolerance = time.Millisecond
+// offsetTolerance is how far the wall clock may drift from the monotonic clock before a
+// system clock checks whether the machine was suspended. The check costs a few system
+// calls; a slewed wall clock drifts by half a millisecond per second.
+const offsetTolerance = time.Millisecond
 
-// NewSystemClock returns a clock that counts from now.
+// NewSystemClock returns a clock that starts now.
 func NewSystemClock() Clock {
-	clock, _ := newSystemClock(systemTime{start: time.Now()}) // without an error it is as good as the steady clock
+	clock, _ := newSystemClock(systemTime{start: time.Now()}) // on an error it is the monotonic clock
 	return clock
 }
 
-// timeSource is what a system clock is read from.
+// timeSource reads the machine's clocks.
 type timeSource interface {
-	// now returns the steady time since the start, which stands still while the machine is
-	// suspended, and the time of day, in nanoseconds since 1970.
-	now() (steady time.Duration, day int64)
-	// suspended returns for how long the machine has been suspended since it was booted, or
-	// a little less.
+	// now returns the monotonic time since the start, which stops while the machine is
+	// suspended, and the wall clock in Unix nanoseconds.
+	now() (monotonic time.Duration, wall int64)
+	// suspended returns how long the machine has been suspended since it was booted. The
+	// result may be slightly too low, never too high.
 	suspended() (time.Duration, error)
 }
 
-// systemClock is the steady clock and the time for which the machine was suspended. That is
-// asked for only when the time of day has moved against the steady clock, as it does then:
-// asking costs a system call, and the clock is read at every event.
+// systemClock is the monotonic clock plus the time for which the machine was suspended.
+// A suspension moves the wall clock against the monotonic clock, so the suspended time is
+// read only after such a move: reading it costs system calls, and Now is called at every
+// event.
 type systemClock struct {
-	source timeSource
-	before time.Duration // suspended before the start
-	apart  atomic.Int64  // time of day less steady time at the last look, in nanoseconds
-	asleep atomic.Int64  // suspended since the start, in nanoseconds
+	source          timeSource
+	suspendedBefore time.Duration // suspended time before the start
+	offset          atomic.Int64  // wall clock less monotonic clock at the last check, in nanoseconds
+	suspendedSince  atomic.Int64  // suspended time since the start, in nanoseconds
 }
 
 func newSystemClock(source timeSource) (Clock, error) {
 	c := &systemClock{source: source}
-	steady, day := source.now()
-	c.apart.Store(day - int64(steady))
+	monotonic, wall := source.now()
+	c.offset.Store(wall - int64(monotonic))
 	before, err := source.suspended()
-	c.before = before
+	c.suspendedBefore = before
 	return c, err
 }
 
 // Now implements Clock.
 func (c *systemClock) Now() time.Duration {
-	steady, day := c.source.now()
-	apart := day - int64(steady)
-	if moved := time.Duration(apart - c.apart.Load()); moved.Abs() > apartTolerance {
-		c.look(apart)
+	monotonic, wall := c.source.now()
+	offset := wall - int64(monotonic)
+	if moved := time.Duration(offset - c.offset.Load()); moved.Abs() > offsetTolerance {
+		c.updateSuspended(offset)
 	}
-	return steady + time.Duration(c.asleep.Load())
+	return monotonic + time.Duration(c.suspendedSince.Load())
 }
 
-// look takes in for how long the machine was suspended. Where that can't be told any more,
-// the clock goes on as the steady one.
-func (c *systemClock) look(apart int64) {
+// updateSuspended reads the suspended time. When it can't be read, the clock goes on
+// without counting further suspensions.
+func (c *systemClock) updateSuspended(offset int64) {
 	if total, err := c.source.suspended(); err == nil {
-		c.raise(int64(total - c.before))
+		c.raiseSuspended(int64(total - c.suspendedBefore))
 	}
-	c.apart.Store(apart)
+	c.offset.Store(offset)
 }
 
-// raise sets the time suspended, which never goes down.
-func (c *systemClock) raise(asleep int64) {
+// raiseSuspended sets the suspended time unless that would lower it.
+func (c *systemClock) raiseSuspended(suspended int64) {
 	for {
-		known := c.asleep.Load()
-		if asleep <= known || c.asleep.CompareAndSwap(known, asleep) {
+		known := c.suspendedSince.Load()
+		if suspended <= known || c.suspendedSince.CompareAndSwap(known, suspended) {
 			return
 		}
 	}
@@ -85,21 +86,21 @@
 	return now.Sub(s.start), now.UnixNano()
 }
 
-// readings is how often the two clocks are read for one look, and longestReading how long it
-// may take between them: a process that is held up there would count that time.
+// The two clocks are read up to maxReadings times, until a reading takes at most
+// maxReadingTime. A process that is preempted between them reads too low a result.
 const (
-	readings       = 5
-	longestReading = 200 * time.Microsecond
+	maxReadings    = 5
+	maxReadingTime = 200 * time.Microsecond
 )
 
 func (systemTime) suspended() (time.Duration, error) {
 	var least time.Duration
-	for range readings {
+	for range maxReadings {
 		boot, err := clockTime(unix.CLOCK_BOOTTIME)
 		if err != nil {
 			return 0, err
 		}
-		steady, err := clockTime(unix.CLOCK_MONOTONIC)
+		monotonic, err := clockTime(unix.CLOCK_MONOTONIC)
 		if err != nil {
 			return 0, err
 		}
@@ -107,8 +108,8 @@
 		if err != nil {
 			return 0, err
 		}
-		least = max(least, boot-steady) // the steady clock is read later, so that this is never too much
-		if after-boot <= longestReading {
+		least = max(least, boot-monotonic) // the monotonic clock is read later, so the difference is never too high
+		if after-boot <= maxReadingTime {
 			break
 		}
 	}
@@ -118,7 +119,7 @@
 func clockTime(id int32) (time.Duration, error) {
 	var spec unix.Timespec
 	if err := unix.ClockGettime(id, &spec); err != nil {
-		return 0, errors.Wrap(err, "the machine's clocks can't be read")
+		return 0, errors.Wrap(err, "clock_gettime failed")
 	}
 	return time.Duration(spec.Nano()), nil
 }
--- a/pkg/common/clock_test.go
+++ b/pkg/common/clock_test.go
@@ -8,30 +8,29 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// fakeTime is a machine's clocks, moved by hand.
 type fakeTime struct {
-	steady time.Duration
-	day    time.Duration
-	asleep time.Duration
-	looks  int
-	err    error
+	monotonic      time.Duration
+	wall           time.Duration
+	suspendedFor   time.Duration
+	suspendedCalls int
+	err            error
 }
 
-func (f *fakeTime) now() (time.Duration, int64) { return f.steady, int64(f.day) }
+func (f *fakeTime) now() (time.Duration, int64) { return f.monotonic, int64(f.wall) }
 
 func (f *fakeTime) suspended() (time.Duration, error) {
-	f.looks++
-	return f.asleep, f.err
+	f.suspendedCalls++
+	return f.suspendedFor, f.err
 }
 
 func (f *fakeTime) pass(d time.Duration) {
-	f.steady += d
-	f.day += d
+	f.monotonic += d
+	f.wall += d
 }
 
 func (f *fakeTime) suspend(d time.Duration) {
-	f.day += d
-	f.asleep += d
+	f.wall += d
+	f.suspendedFor += d
 }
 
 func TestTheSystemClockCountsSuspension(t *testing.T) {
@@ -39,43 +38,43 @@
 		testName  string
 		happens   func(f *fakeTime)
 		want      time.Duration
-		wantLooks int // beyond the first
+		wantCalls int // calls of suspended after the first
 	}
 	scenarios := []scenario{
 		{testName: "time passes", happens: func(f *fakeTime) { f.pass(time.Second) }, want: time.Second},
 		{testName: "the machine is suspended", happens: func(f *fakeTime) {
 			f.pass(time.Second)
 			f.suspend(3 * time.Second)
-		}, want: 4 * time.Second, wantLooks: 1},
-		{testName: "it is suspended while its time of day is set back by as much", happens: func(f *fakeTime) {
+		}, want: 4 * time.Second, wantCalls: 1},
+		{testName: "it is suspended and its wall clock is set back by slightly more", happens: func(f *fakeTime) {
 			f.suspend(3 * time.Second)
-			f.day -= 3*time.Second + 2*apartTolerance
-		}, want: 3 * time.Second, wantLooks: 1},
-		{testName: "the time of day jumps", happens: func(f *fakeTime) {
+			f.wall -= 3*time.Second + 2*offsetTolerance
+		}, want: 3 * time.Second, wantCalls: 1},
+		{testName: "the wall clock jumps", happens: func(f *fakeTime) {
 			f.pass(time.Second)
-			f.day -= time.Hour
-		}, want: time.Second, wantLooks: 1},
-		{testName: "the time of day is slewed", happens: func(f *fakeTime) {
+			f.wall -= time.Hour
+		}, want: time.Second, wantCalls: 1},
+		{testName: "the wall clock is slewed", happens: func(f *fakeTime) {
 			f.pass(time.Second)
-			f.day += apartTolerance / 2
+			f.wall += offsetTolerance / 2
 		}, want: time.Second},
-		{testName: "nothing tells of suspensions", happens: func(f *fakeTime) {
+		{testName: "the suspended time can't be read", happens: func(f *fakeTime) {
 			f.err = errors.New("no such clock")
 			f.pass(time.Second)
 			f.suspend(3 * time.Second)
-		}, want: time.Second, wantLooks: 1},
+		}, want: time.Second, wantCalls: 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			f := &fakeTime{day: 1000 * time.Hour, asleep: time.Hour}
+			f := &fakeTime{wall: 1000 * time.Hour, suspendedFor: time.Hour}
 			clock, err := newSystemClock(f)
 			c.Assert(err, qt.IsNil)
 			c.Assert(clock.Now(), qt.Equals, time.Duration(0))
 			s.happens(f)
 			c.Assert(clock.Now(), qt.Equals, s.want)
 			c.Assert(clock.Now(), qt.Equals, s.want)
-			c.Assert(f.looks, qt.Equals, 1+s.wantLooks)
+			c.Assert(f.suspendedCalls, qt.Equals, 1+s.wantCalls)
 		})
 	}
 }
@@ -87,16 +86,16 @@
 	c.Assert(err, qt.IsNil)
 	f.suspend(3 * time.Second)
 	c.Assert(clock.Now(), qt.Equals, 3*time.Second)
-	f.asleep -= time.Millisecond // as read
-	f.day += time.Second
+	f.suspendedFor -= time.Millisecond // a lower reading
+	f.wall += time.Second
 	c.Assert(clock.Now(), qt.Equals, 3*time.Second)
 }
 
-func TestTheMachinesClocksCanBeRead(t *testing.T) {
+func TestSystemTimeReadsTheSuspendedTime(t *testing.T) {
 	c := qt.New(t)
-	asleep, err := systemTime{start: time.Now()}.suspended()
+	suspended, err := systemTime{start: time.Now()}.suspended()
 	c.Assert(err, qt.IsNil)
-	c.Assert(asleep >= 0, qt.IsTrue)
+	c.Assert(suspended >= 0, qt.IsTrue)
 }
 
 // BenchmarkSystemClock reads the clock, as every event does.
--- a/pkg/common/common.go
+++ b/pkg/common/common.go
@@ -1,5 +1,5 @@
-// Package common holds what every component is handed: a log, a clock and a
-// source of randomness.
+// Package common holds the dependencies that every component shares: a logger, a
+// clock and a source of randomness.
 package common
 
 import (
@@ -12,21 +12,21 @@
 	"github.com/charmbracelet/log"
 )
 
-// Clock tells monotonic time as the duration since the process started. It counts the time
-// for which the machine is suspended, never goes backwards, and is comparable only within
-// one process.
+// Clock returns monotonic time as the duration since the process started. It includes
+// the time for which the machine is suspended, never goes backwards, and is comparable
+// only within one process.
 type Clock interface {
 	Now() time.Duration
 }
 
-// Common is handed to every constructor.
+// Common is passed to every constructor.
 type Common struct {
 	Log   *log.Logger
 	Clock Clock
-	Rand  io.Reader // 128-bit identities come from here
+	Rand  io.Reader // source of random 128-bit ids
 }
 
-// NewCommon makes a Common with the system's clock and randomness.
+// NewCommon returns a Common with the system's clock and randomness.
 func NewCommon(logger *log.Logger) *Common {
 	clock, err := newSystemClock(systemTime{start: time.Now()})
 	if err != nil {
@@ -35,12 +35,12 @@
 	return &Common{Log: logger, Clock: clock, Rand: rand.Reader}
 }
 
-// NewTestCommon makes a Common that logs nothing, for tests.
+// NewTestCommon returns a Common for tests that discards its log.
 func NewTestCommon() *Common {
 	return NewCommon(log.New(io.Discard))
 }
 
-// With returns a copy whose log carries further fields.
+// With returns a copy whose logger adds keyvals to each line.
 func (c *Common) With(keyvals ...any) *Common {
 	copied := *c
 	copied.Log = c.Log.With(keyvals...)
@@ -62,7 +62,7 @@
 	}), nil
 }
 
-// ManualClock is a clock that tests move by hand.
+// ManualClock is a clock that tests advance explicitly.
 type ManualClock struct{ At time.Duration }
 
 // Now implements Clock.
