--- a/pkg/errkind/errkind.go
+++ b/pkg/errkind/errkind.go
@@ -1,6 +1,5 @@
-// Package errkind defines the typed errors that every part of foxcroft
-// returns. An error has a kind for programs and a message with a remedy for
-// people.
+// Package errkind defines the typed errors that all packages return. An error has
+// a kind for programs, and a message with a remedy for people.
 package errkind
 
 import (
@@ -14,7 +13,7 @@
 // in docs/API.md.
 type Kind string
 
-// Kinds of request errors: nothing ran, and the same request will fail again.
+// Kinds of request errors: no task ran, and the same request will fail again.
 const (
 	BadRequest     Kind = "bad_request"
 	TooLarge       Kind = "too_large"
@@ -60,10 +59,10 @@
 // Error is an error with a kind and a remedy.
 type Error struct {
 	Kind       Kind
-	Message    string        // what went wrong, in one sentence
+	Message    string        // the fault, in one sentence
 	Remedy     string        // what the reader can do about it
-	RetryAfter time.Duration // when to come back; 0 means no advice
-	Cause      error         // the error underneath, or nil
+	RetryAfter time.Duration // when to retry; 0 means no advice
+	Cause      error         // the wrapped error, or nil
 }
 
 // Error returns the message followed by the remedy.
@@ -74,16 +73,14 @@
 	return e.Message + "; " + e.Remedy
 }
 
-// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// New makes an error of a kind. The remedy tells the reader what to do; the
-// format and its arguments make the message.
+// New returns an error of a kind. The message is formatted from format and args.
 func New(kind Kind, remedy, format string, args ...any) *Error {
 	return &Error{Kind: kind, Remedy: remedy, Message: fmt.Sprintf(format, args...)}
 }
 
-// Wrap makes an error of a kind from a cause, whose text ends the message.
+// Wrap returns an error of a kind whose message ends with the text of its cause.
 func Wrap(cause error, kind Kind, remedy, format string, args ...any) *Error {
 	message := fmt.Sprintf(format, args...)
 	return &Error{Kind: kind, Remedy: remedy, Message: message + ": " + cause.Error(), Cause: errors.WithStack(cause)}
@@ -98,7 +95,7 @@
 	return Internal
 }
 
-// From returns err as an *Error, wrapping it as Internal when it is another type.
+// From returns err as an *Error, and wraps it as Internal when it is of another type.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
