--- a/pkg/rowlog/rowlog.go
+++ b/pkg/rowlog/rowlog.go
@@ -1,6 +1,6 @@
-// Package rowlog decides which of the rows that can't be read are news: each is counted
-// and logged once for each content that it has had, within bounds, however many such
-// rows other writers leave in the store and however often the tables are read.
+// Package rowlog deduplicates and limits the log lines about unreadable rows. Each row is
+// counted and logged once for each content, however often the tables are read, and
+// memory and log lines stay bounded however many unreadable rows the store has.
 package rowlog
 
 import (
@@ -12,71 +12,72 @@
 )
 
 const (
-	// mostRemembered bounds the rows that are remembered, at 36 bytes each (0.6 MB in all,
-	// measured on the heap): a table of 10,000 of them is told once. Beyond that all are forgotten, and may be told again.
-	mostRemembered = 16384
-	// linesAtOnce and lineInterval bound the log: enough to see who writes them, while
-	// other lines stay readable beside.
-	linesAtOnce  = 20
-	lineInterval = 10 * time.Second
+	// maxRemembered bounds the rows that are remembered. Beyond it all are forgotten, and
+	// may be counted and logged again.
+	maxRemembered = 16384
+	// maxLinesPerInterval and lineInterval limit the rate of log lines. The limit leaves
+	// enough lines to identify who writes the rows.
+	maxLinesPerInterval = 20
+	lineInterval        = 10 * time.Second
 )
 
-// Log remembers the rows that were told. It is safe for concurrent use.
+// Log remembers the rows that were reported. It is safe for concurrent use.
 type Log struct {
-	mu       sync.Mutex
-	contents map[uint64]uint64 // by a checksum of table and key
-	since    time.Duration     // when the interval of the lines began
-	lines    int               // in it
-	left     int               // rows that weren't logged since the last report
+	mu         sync.Mutex
+	contents   map[uint64]uint64 // checksum of the content, by a checksum of table and key
+	since      time.Duration     // start of the current interval
+	lines      int               // logged in the current interval
+	suppressed int               // rows not logged in the current interval
 }
 
-// New makes a log that remembers nothing.
 func New() *Log {
 	return &Log{contents: map[uint64]uint64{}}
 }
 
-// News is what should be told of some rows.
+// News are the rows to count and to log.
 type News struct {
-	Counted []catalog.Unreadable // rows that are new, or whose content is
-	Logged  []catalog.Unreadable // the first of them, as far as the log has room
-	Left    int                  // rows that weren't logged before now, for which there was no room
+	Counted []catalog.Unreadable // rows that are new or have a new content
+	Logged  []catalog.Unreadable // the first of Counted, up to the rate limit
+	Left    int                  // rows that the rate limit kept out of the log in the previous interval
 }
 
-// Take takes rows of a table that were read at now.
+// Take records the unreadable rows of a table that were read at now, and returns those
+// to count and to log.
 func (l *Log) Take(table string, rows []catalog.Unreadable, now time.Duration) News {
 	if len(rows) == 0 {
 		return News{}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var news News
+	var report News
 	if now >= l.since+lineInterval {
-		news.Left = l.left
-		l.since, l.lines, l.left = now, 0, 0
+		report.Left = l.suppressed
+		l.since, l.lines, l.suppressed = now, 0, 0
 	}
 	for _, row := range rows {
-		if l.remembers(table, row) {
+		if l.remember(table, row) {
 			continue
 		}
-		news.Counted = append(news.Counted, row)
-		if l.lines >= linesAtOnce {
-			l.left++
+		report.Counted = append(report.Counted, row)
+		if l.lines >= maxLinesPerInterval {
+			l.suppressed++
 			continue
 		}
 		l.lines++
-		news.Logged = append(news.Logged, row)
+		report.Logged = append(report.Logged, row)
 	}
-	return news
+	return report
 }
 
-// remembers reports whether a row was told with the same content, and remembers it.
-func (l *Log) remembers(table string, row catalog.Unreadable) bool {
+// remember records a row, and reports whether it was recorded with the same content
+// before.
+func (l *Log) remember(table string, row catalog.Unreadable) bool {
 	id := xxhash.Sum64String(table + "\x00" + row.Key)
 	content, known := l.contents[id]
 	if known && content == row.Content {
 		return true
 	}
-	if !known && len(l.contents) >= mostRemembered {
+	if !known && len(l.contents) >= maxRemembered {
 		clear(l.contents)
 	}
 	l.contents[id] = row.Content
--- a/pkg/rowlog/rowlog_test.go
+++ b/pkg/rowlog/rowlog_test.go
@@ -17,7 +17,7 @@
 	return rows
 }
 
-func TestARowIsToldOnceForEachContent(t *testing.T) {
+func TestARowIsLoggedOnceForEachContent(t *testing.T) {
 	row := catalog.Unreadable{Key: "a", Reason: catalog.NoDocument, Content: 1}
 	changed := row
 	changed.Content = 2
@@ -37,9 +37,9 @@
 			c := qt.New(t)
 			l := New()
 			c.Assert(l.Take("executors", []catalog.Unreadable{row}, 0).Logged, qt.HasLen, 1)
-			news := l.Take(s.table, []catalog.Unreadable{s.row}, time.Second)
-			c.Assert(news.Logged, qt.HasLen, s.want)
-			c.Assert(news.Counted, qt.HasLen, s.want)
+			report := l.Take(s.table, []catalog.Unreadable{s.row}, time.Second)
+			c.Assert(report.Logged, qt.HasLen, s.want)
+			c.Assert(report.Counted, qt.HasLen, s.want)
 		})
 	}
 }
@@ -50,14 +50,14 @@
 	rows := manyRows(10_000)
 	first := l.Take("executors", rows, 0)
 	c.Assert(first.Counted, qt.HasLen, 10_000)
-	c.Assert(first.Logged, qt.HasLen, linesAtOnce)
+	c.Assert(first.Logged, qt.HasLen, maxLinesPerInterval)
 	again := l.Take("executors", rows, time.Second)
-	c.Assert(again.Counted, qt.HasLen, 0, qt.Commentf("they stand there, and are read again and again"))
+	c.Assert(again.Counted, qt.HasLen, 0, qt.Commentf("a repeated reading of the same rows"))
 
 	next := l.Take("executors", manyRows(10_001), lineInterval)
 	c.Assert(next.Logged, qt.HasLen, 1)
-	c.Assert(next.Left, qt.Equals, 10_000-linesAtOnce)
+	c.Assert(next.Left, qt.Equals, 10_000-maxLinesPerInterval)
 
-	l.Take("members", manyRows(20*mostRemembered), 0)
-	c.Assert(len(l.contents) <= mostRemembered, qt.IsTrue)
+	l.Take("members", manyRows(20*maxRemembered), 0)
+	c.Assert(len(l.contents) <= maxRemembered, qt.IsTrue)
 }
