--- a/pkg/logbuffer/logbuffer.go
+++ b/pkg/logbuffer/logbuffer.go
@@ -1,6 +1,6 @@
 // Package logbuffer is a bounded buffer between a logger and its output. A
-// write never blocks: when the buffer is full the line is dropped and counted,
-// and a line that tells the count follows once there is room.
+// write never blocks: when the buffer is full the line is dropped, and a line with
+// the number of dropped lines follows once there is room.
 package logbuffer
 
 import (
@@ -11,7 +11,7 @@
 	"sync/atomic"
 )
 
-// DefaultLines is the number of lines that a buffer holds.
+// DefaultLines is the default capacity of a buffer in lines.
 const DefaultLines = 4096
 
 // Buffer implements io.Writer. It is safe for concurrent use.
@@ -21,19 +21,19 @@
 	dropped atomic.Uint64
 	done    chan struct{}
 
-	mu     sync.RWMutex // held for reading by writers, for writing to close
+	mu     sync.RWMutex // Write holds it for reading, Close for writing
 	closed bool
 }
 
-// New makes a buffer of so many lines in front of out.
+// New returns a buffer with a capacity of lines in front of out.
 func New(out io.Writer, lines int) *Buffer {
 	b := &Buffer{out: out, lines: make(chan []byte, lines), done: make(chan struct{})}
 	go b.run()
 	return b
 }
 
-// Write implements io.Writer. Each call is one line. After Close lines are
-// dropped.
+// Write implements io.Writer. Each call writes one line. Lines written after Close
+// are dropped.
 func (b *Buffer) Write(line []byte) (int, error) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -49,10 +49,10 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped since the start.
+// Dropped returns the total number of dropped lines.
 func (b *Buffer) Dropped() uint64 { return b.dropped.Load() }
 
-// Close writes what is buffered.
+// Close writes the buffered lines and stops the buffer.
 func (b *Buffer) Close() {
 	b.mu.Lock()
 	if !b.closed {
@@ -63,17 +63,17 @@
 	<-b.done
 }
 
-// run writes lines, those that are ready together in one call.
+// run writes the buffered lines, with one call for all that are ready.
 func (b *Buffer) run() {
 	defer close(b.done)
-	told := uint64(0)
+	reported := uint64(0)
 	var batch []byte
 	for line := range b.lines {
 		batch = append(batch[:0], line...)
 		batch = b.appendReady(batch)
-		if dropped := b.Dropped(); dropped > told {
-			batch = fmt.Appendf(batch, "{\"level\":\"warn\",\"msg\":\"log_lines_dropped\",\"count\":%d}\n", dropped-told)
-			told = dropped
+		if dropped := b.Dropped(); dropped > reported {
+			batch = fmt.Appendf(batch, "{\"level\":\"warn\",\"msg\":\"log_lines_dropped\",\"count\":%d}\n", dropped-reported)
+			reported = dropped
 		}
 		_, _ = b.out.Write(batch)
 	}
--- a/pkg/logbuffer/logbuffer_test.go
+++ b/pkg/logbuffer/logbuffer_test.go
@@ -10,23 +10,23 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// stuckWriter takes nothing until it is released.
-type stuckWriter struct {
+// blockedWriter blocks every write until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	bytes.Buffer
 }
 
-func (w *stuckWriter) Write(p []byte) (int, error) {
+func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.release
 	return w.Buffer.Write(p)
 }
 
-func TestAStuckOutputBlocksNobodyAndDropsAreTold(t *testing.T) {
+func TestABlockedOutputDropsLinesAndCountsThem(t *testing.T) {
 	c := qt.New(t)
-	out := &stuckWriter{release: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	b := New(out, 4)
 	for i := range 100 {
-		n, err := fmt.Fprintf(b, "line %d\n", i) // returns although nothing is written
+		n, err := fmt.Fprintf(b, "line %d\n", i) // returns although the output is blocked
 		c.Assert(err, qt.IsNil)
 		c.Assert(n > 0, qt.IsTrue)
 	}
@@ -38,21 +38,21 @@
 	c.Assert(droppedIn(c, text), qt.Equals, b.Dropped(), qt.Commentf("%s", text))
 }
 
-// droppedIn adds up the drops that a log tells of. They may be told in several
-// lines, as the output comes and goes.
+// droppedIn returns the sum of the drop counts in a log, which may have several
+// log_lines_dropped lines.
 func droppedIn(c *qt.C, text string) uint64 {
 	var total uint64
 	for _, line := range strings.Split(text, "\n") {
-		var told struct {
+		var reported struct {
 			Message string `json:"msg"`
 			Count   uint64 `json:"count"`
 		}
 		if !strings.HasPrefix(line, "{") {
 			continue
 		}
-		c.Assert(json.Unmarshal([]byte(line), &told), qt.IsNil)
-		c.Assert(told.Message, qt.Equals, "log_lines_dropped")
-		total += told.Count
+		c.Assert(json.Unmarshal([]byte(line), &reported), qt.IsNil)
+		c.Assert(reported.Message, qt.Equals, "log_lines_dropped")
+		total += reported.Count
 	}
 	return total
 }
@@ -71,12 +71,12 @@
 	c.Assert(out.String(), qt.Equals, want)
 }
 
-func TestALineAfterTheEndIsDropped(t *testing.T) {
+func TestALineAfterCloseIsDropped(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
 	b := New(&out, 4)
 	b.Close()
-	n, err := b.Write([]byte("late\n")) // a goroutine that outlives the stop
+	n, err := b.Write([]byte("late\n")) // as by a goroutine that logs after shutdown
 	c.Assert(err, qt.IsNil)
 	c.Assert(n, qt.Equals, 5)
 	c.Assert(b.Dropped(), qt.Equals, uint64(1))
