--- a/pkg/kernel/kernel.go
+++ b/pkg/kernel/kernel.go
@@ -1,6 +1,5 @@
 // Package kernel is the registry in which plug-ins register themselves from
-// their init functions. The daemons look plug-ins up by area and name, as the
-// settings say.
+// their init functions. The daemons look up the plug-ins that their settings name.
 package kernel
 
 import (
@@ -19,13 +18,13 @@
 	plugins map[string]T
 }
 
-// NewRegistry makes an empty registry for an area.
+// NewRegistry returns an empty registry for an area.
 func NewRegistry[T any](area string) *Registry[T] {
 	return &Registry[T]{area: area, plugins: map[string]T{}}
 }
 
-// Register adds a plug-in. It panics when the name is taken, since that is a
-// mistake in the program.
+// Register adds a plug-in. It panics when the name is already registered, which is a
+// programming error.
 func (r *Registry[T]) Register(name string, plugin T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -36,7 +35,7 @@
 }
 
 // Get returns the plug-in of a name, or a BadSettings error that lists the
-// names there are.
+// registered names.
 func (r *Registry[T]) Get(name string) (T, error) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
