--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -71,7 +71,7 @@
 	Run      int64         // of a start or stop
 	Spec     string        // of a start
 	Deadline time.Duration // end of the lease on the executor's clock; 0 for a hold that renews nothing
-	LastSeen int64         // of a hold: number of the newest end that the executor may forget
+	AckedEnd int64         // of a hold: number of the newest end that the executor may forget
 	Wait     time.Duration // of a hold: longest time that it waits for an end
 	Job      string        // job id, for logs
 	Reason   string        // of a stop, for logs
@@ -162,7 +162,7 @@
 	Job       *job.Job
 	Epoch     int            // increases with each handover of the job
 	Progress  []job.Progress // known progress of its tasks
-	SettleAt  time.Duration  // earliest time for a start, or 0
+	NotBefore time.Duration  // earliest time for a start, or 0
 	RenewedAt time.Duration  // last renewal of the job, as in Renew
 }
 
@@ -180,8 +180,8 @@
 		c.order.Observe(j)
 	}
 	w := newJobState(h, c.times, now)
-	if unknownUntil := c.unknownRunsUntil(now); h.Epoch > 1 && unknownUntil > h.SettleAt {
-		w.notBefore, w.untilAdopted = unknownUntil, h.SettleAt == 0
+	if unknownUntil := c.unknownRunsUntil(now); h.Epoch > 1 && unknownUntil > h.NotBefore {
+		w.notBefore, w.untilAdopted = unknownUntil, h.NotBefore == 0
 	}
 	w.applyProgress(h.Progress)
 	c.supersede(w)
@@ -242,15 +242,15 @@
 	c.advance(now)
 }
 
-// Pause suspends starts until a time. A process that was suspended pauses its cells until it
+// PauseStarts suspends starts until a time. A process that was suspended pauses its cells until it
 // has learned how the other hosts reacted to its missing heartbeats.
-func (c *Cell) Pause(until time.Duration) {
+func (c *Cell) PauseStarts(until time.Duration) {
 	c.pausedUntil = until
 }
 
-// Busy reports whether the cell needs ticks: it has jobs or runs, or executors that it has not
+// NeedsTicks reports whether the cell needs ticks: it has jobs or runs, or executors that it has not
 // adopted.
-func (c *Cell) Busy() bool {
+func (c *Cell) NeedsTicks() bool {
 	if len(c.jobs) > 0 {
 		return true
 	}
--- a/pkg/cell/checkpoint.go
+++ b/pkg/cell/checkpoint.go
@@ -26,9 +26,9 @@
 	Progress []job.Progress
 }
 
-// EndsOf returns how many ends of tasks a job's progress includes. It never decreases while the
+// CountEnds returns how many ends of tasks a job's progress includes. It never decreases while the
 // job is at its owner.
-func EndsOf(progress []job.Progress) int {
+func CountEnds(progress []job.Progress) int {
 	ends := 0
 	for _, p := range progress {
 		ends += p.Failures
@@ -46,7 +46,7 @@
 		if ends := c.unpersisted[w.job.ID]; slices.ContainsFunc(ends, func(u *unpersistedEnd) bool { return u.isCheckpointDue(now) }) {
 			progress := w.progress()
 			for _, u := range ends {
-				u.reportedAt, u.reportedEnds = now, EndsOf(progress)
+				u.reportedAt, u.reportedEnds = now, CountEnds(progress)
 			}
 			due = append(due, Checkpoint{ID: w.job.ID, Progress: progress})
 		}
--- a/pkg/cell/checkpoint_test.go
+++ b/pkg/cell/checkpoint_test.go
@@ -29,7 +29,7 @@
 	now += checkpointAfter
 	due := state.Checkpoints(now)
 	c.Assert(due, qt.HasLen, 1)
-	c.Assert(EndsOf(due[0].Progress), qt.Equals, 1)
+	c.Assert(CountEnds(due[0].Progress), qt.Equals, 1)
 	end(2, 1, EndDone)
 	c.Assert(state.Checkpoints(now+ms), qt.HasLen, 0, qt.Commentf("it was told a moment ago"))
 	c.Assert(state.releaseForgettable(e, now), qt.Equals, int64(0), qt.Commentf("it doesn't last yet"))
@@ -39,7 +39,7 @@
 	now += checkpointAfter
 	due = state.Checkpoints(now)
 	c.Assert(due, qt.HasLen, 1)
-	c.Assert(EndsOf(due[0].Progress), qt.Equals, 2)
+	c.Assert(CountEnds(due[0].Progress), qt.Equals, 2)
 	c.Assert(state.Checkpoints(now+checkpointRetry), qt.HasLen, 1, qt.Commentf("the word may have been lost"))
 	state.CheckpointPersisted("a", 2, now)
 	c.Assert(state.releaseForgettable(e, now), qt.Equals, int64(2))
--- a/pkg/cell/explore_executor_test.go
+++ b/pkg/cell/explore_executor_test.go
@@ -118,7 +118,7 @@
 	switch command.Kind {
 	case Hold:
 		e.extend(command.Deadline, now)
-		e.forget(command.LastSeen)
+		e.forget(command.AckedEnd)
 	case Stop:
 		if run, ok := e.runs[command.Task]; ok && run.number == command.Run {
 			e.finish(command.Task, EndStopped)
--- a/pkg/cell/explore_kept_test.go
+++ b/pkg/cell/explore_kept_test.go
@@ -195,7 +195,7 @@
 		return
 	}
 	if w.now-o.lastRun > freezeThreshold {
-		o.cell.Pause(w.now + pauseAfterFreeze)
+		o.cell.PauseStarts(w.now + pauseAfterFreeze)
 	}
 	o.lastRun = w.now
 	event()
--- a/pkg/cell/explore_owner_test.go
+++ b/pkg/cell/explore_owner_test.go
@@ -83,7 +83,7 @@
 func (o *owner) handle(event func()) {
 	w := o.host.cluster
 	if w.now-o.lastRun > freezeThreshold {
-		o.cell.Pause(w.now + pauseAfterFreeze)
+		o.cell.PauseStarts(w.now + pauseAfterFreeze)
 	}
 	o.lastRun = w.now
 	event()
@@ -170,7 +170,7 @@
 	if d.settleDelay > 0 {
 		settleAt = w.now + d.settleDelay
 	}
-	handover := Handover{Job: d.job, Epoch: d.epoch, Progress: d.progress, SettleAt: settleAt, RenewedAt: d.renewedAt}
+	handover := Handover{Job: d.job, Epoch: d.epoch, Progress: d.progress, NotBefore: settleAt, RenewedAt: d.renewedAt}
 	o.handle(func() { o.cell.Submit(handover, w.now) })
 }
 
--- a/pkg/cell/explore_test.go
+++ b/pkg/cell/explore_test.go
@@ -167,7 +167,7 @@
 		}
 	}
 	w.after(o.frozen-w.now, func() {
-		o.cell.Pause(w.now + 300*ms)
+		o.cell.PauseStarts(w.now + 300*ms)
 		w.after(50*ms, func() {
 			for _, id := range slices.Sorted(maps.Keys(o.jobs)) {
 				o.cell.Withdraw(id, "front gone", w.now)
--- a/pkg/cell/holds.go
+++ b/pkg/cell/holds.go
@@ -39,7 +39,7 @@
 	if !e.adopted && !e.listed {
 		return
 	}
-	command := Command{Kind: Hold, Executor: e.info, Token: c.token, LastSeen: lastSeen}
+	command := Command{Kind: Hold, Executor: e.info, Token: c.token, AckedEnd: lastSeen}
 	// The first hold after a takeover renews nothing, as the runs may be orphans. Nor does
 	// a hold to an unresponsive executor, which might process it when its runs already
 	// count as ended, or a retry, which has to return at once.
--- a/pkg/cell/job_state.go
+++ b/pkg/cell/job_state.go
@@ -44,7 +44,7 @@
 
 func newJobState(h Handover, times *taskTimes, now time.Duration) *jobState {
 	j := h.Job
-	w := &jobState{job: j, epoch: h.Epoch, submittedAt: now, renewedAt: h.RenewedAt, notBefore: h.SettleAt, mayHaveStarted: h.Epoch > 1}
+	w := &jobState{job: j, epoch: h.Epoch, submittedAt: now, renewedAt: h.RenewedAt, notBefore: h.NotBefore, mayHaveStarted: h.Epoch > 1}
 	for stepIndex, step := range j.Steps {
 		if stepIndex == 0 || step.Needs.CPU < w.leastCPU {
 			w.leastCPU = step.Needs.CPU
--- a/pkg/cell/kept.go
+++ b/pkg/cell/kept.go
@@ -26,13 +26,15 @@
 	noExecutorTimeout = 3 * time.Second
 )
 
-// ReasonStranded marks a kept job that was returned to its front because no executor here can run
+// ReasonNoUsableExecutor marks a kept job that was returned to its front because no executor here can run
 // it. It has no runs here, so any other cell may start it at once.
-const ReasonStranded = "no_usable_executor"
+const ReasonNoUsableExecutor = "no_usable_executor"
 
-// NothingRuns reports whether a job that was returned for a reason has no runs in the cell, so
+// LeavesNoRuns reports whether a job that was returned for a reason has no runs in the cell, so
 // that another cell may start it.
-func NothingRuns(reason string) bool { return reason == ReasonClosed || reason == ReasonStranded }
+func LeavesNoRuns(reason string) bool {
+	return reason == ReasonClosed || reason == ReasonNoUsableExecutor
+}
 
 // noExpiry is used as the last renewal of a job that has no lease. Adding durations and clock
 // readings to it does not overflow.
@@ -87,7 +89,7 @@
 func (c *Cell) returnWithoutExecutor(now time.Duration) {
 	for _, w := range c.jobsWithoutExecutor(now) {
 		c.addNotice(Notice{Event: "job_stranded", Job: w.job.ID, Age: now - c.usableAt[w.job.Service]})
-		c.finish(w, w.returnedOutcome(ReasonStranded))
+		c.finish(w, w.returnedOutcome(ReasonNoUsableExecutor))
 	}
 }
 
--- a/pkg/cell/kept_test.go
+++ b/pkg/cell/kept_test.go
@@ -70,7 +70,7 @@
 			start := startKept(c, d, keptJob("a", 1, d.now))
 			d.silent = true
 			if s.stood {
-				d.cell.Pause(d.now + ms)
+				d.cell.PauseStarts(d.now + ms)
 			}
 			furthest := d.goOn(s.unasked, listed(start))
 			_, ended := d.finished["a"]
@@ -153,7 +153,7 @@
 	d.startAnswer(starts[1], Accepted)
 	d.silent = true
 	d.now += testJobLease
-	d.cell.Pause(d.now + 100*ms)
+	d.cell.PauseStarts(d.now + 100*ms)
 	d.now += 200 * ms
 	d.holdAnswer(0, HoldResponse{Clock: time.Minute + d.now, Ended: []EndedTask{endOf(1, starts[0], EndDone), endOf(2, starts[1], EndDone)}}, d.now)
 	c.Assert(d.of(Start), qt.HasLen, 0)
@@ -321,8 +321,8 @@
 			}
 			outcome := d.finished["a"]
 			c.Assert(outcome.Kind == job.Moved, qt.Equals, s.want)
-			c.Assert(outcome.Reason == ReasonStranded, qt.Equals, s.want)
-			c.Assert(NothingRuns(outcome.Reason), qt.Equals, s.want)
+			c.Assert(outcome.Reason == ReasonNoUsableExecutor, qt.Equals, s.want)
+			c.Assert(LeavesNoRuns(outcome.Reason), qt.Equals, s.want)
 			c.Assert(outcome.Started, qt.IsFalse)
 		})
 	}
@@ -346,7 +346,7 @@
 	d.holdAnswer(0, HoldResponse{Clock: time.Minute + d.now, Ended: []EndedTask{endOf(1, starts[0], EndDone), endOf(2, starts[1], EndDone)}}, d.now)
 	d.tick(ms)
 	outcome := d.finished["a"]
-	c.Assert(outcome.Reason, qt.Equals, ReasonStranded)
+	c.Assert(outcome.Reason, qt.Equals, ReasonNoUsableExecutor)
 	c.Assert(outcome.Progress, qt.HasLen, 2, qt.Commentf("the next cell runs the third task"))
 }
 
--- a/pkg/cell/lease_test.go
+++ b/pkg/cell/lease_test.go
@@ -67,7 +67,7 @@
 func TestAPausedCellStartsNothing(t *testing.T) {
 	c := qt.New(t)
 	d := adopted(c, 1)
-	d.cell.Pause(d.now + 300*ms)
+	d.cell.PauseStarts(d.now + 300*ms)
 	d.submit(testJob("a", 1, d.now), 1)
 	d.tick(299 * ms)
 	c.Assert(d.of(Start), qt.HasLen, 0)
--- a/pkg/cell/overdue.go
+++ b/pkg/cell/overdue.go
@@ -47,7 +47,7 @@
 	case verdict == Outdated && s.sent > 1:
 		s.accepted = true // another copy was, and the run has ended: a hold lists how
 		return startAccepted
-	case verdict.MayBeDone() || verdict == AcceptedByOther:
+	case verdict.IsUnresolved() || verdict == AcceptedByOther:
 		s.unresolved++
 	}
 	switch {
--- a/pkg/cell/unpersisted_test.go
+++ b/pkg/cell/unpersisted_test.go
@@ -78,7 +78,7 @@
 			for until := d.now + s.waits; d.now < until; {
 				d.tick(50 * ms)
 			}
-			c.Assert(d.nextHold().LastSeen, qt.Equals, s.want)
+			c.Assert(d.nextHold().AckedEnd, qt.Equals, s.want)
 		})
 	}
 }
@@ -99,7 +99,7 @@
 	d.take()
 	holds := d.of(Hold)
 	c.Assert(holds, qt.HasLen, 1, qt.Commentf("it has nothing to list any more"))
-	c.Assert(holds[0].LastSeen, qt.Equals, int64(1))
+	c.Assert(holds[0].AckedEnd, qt.Equals, int64(1))
 	c.Assert(holds[0].Wait > shortestHoldWait, qt.IsTrue)
 }
 
@@ -116,7 +116,7 @@
 		answer.Ended = append(answer.Ended, end)
 	}
 	d.holdAnswer(0, answer, d.now)
-	c.Assert(d.nextHold().LastSeen, qt.Equals, int64(many-maxRetainedEnds))
+	c.Assert(d.nextHold().AckedEnd, qt.Equals, int64(many-maxRetainedEnds))
 }
 
 // An executor that has many ends to list gets no more kept jobs, until it has fewer.
@@ -268,14 +268,14 @@
 	}
 	d.holdAnswer(0, HoldResponse{Clock: time.Minute, Ended: ended}, d.now)
 	keepBusy(d)
-	c.Assert(d.nextHold().LastSeen, qt.Equals, int64(1), qt.Commentf("what concerns no kept job"))
+	c.Assert(d.nextHold().AckedEnd, qt.Equals, int64(1), qt.Commentf("what concerns no kept job"))
 	d.submit(keptJob("a", 1, d.now), 2)
 	c.Assert(d.finished["a"].Kind, qt.Equals, job.Completed)
 	d.cell.EndsPersisted([]string{"a"}, d.now)
 	d.take()
-	c.Assert(d.nextHold().LastSeen, qt.Equals, int64(2))
+	c.Assert(d.nextHold().AckedEnd, qt.Equals, int64(2))
 	d.now += unknownJobEndRetention
-	c.Assert(d.nextHold().LastSeen, qt.Equals, int64(3), qt.Commentf("nobody has asked for it"))
+	c.Assert(d.nextHold().AckedEnd, qt.Equals, int64(3), qt.Commentf("nobody has asked for it"))
 	c.Assert(d.cell.histories, qt.HasLen, 0)
 	c.Assert(d.cell.unpersisted, qt.HasLen, 0)
 }
--- a/pkg/cell/verdicts.go
+++ b/pkg/cell/verdicts.go
@@ -22,10 +22,10 @@
 
 var verdictNames = [...]string{"accepted", "fenced", "outdated", "late", "no_room", "unhealthy", "wrong_life", "unanswered", "rejected", "unreached", "unclear", "other_life"}
 
-// MayBeDone reports whether a command may have been carried out, or may be later. Its run then
+// IsUnresolved reports whether a command may have been carried out, or may be later. Its run then
 // counts as alive: a task may start elsewhere at once only after an answer that the protocol
 // defines as "nothing was done".
-func (v Verdict) MayBeDone() bool { return v == Unanswered || v == Unclear }
+func (v Verdict) IsUnresolved() bool { return v == Unanswered || v == Unclear }
 
 // FromOtherIncarnation returns the meaning of a verdict that was given by another incarnation of
 // the executor, under the same id. The incarnation that was called has ended with all its runs;
--- a/pkg/entry/forward.go
+++ b/pkg/entry/forward.go
@@ -112,7 +112,7 @@
 	if id.Home.Domain == view.Self.Domain {
 		return member.Peer{}, false
 	}
-	return view.InDomain(id.Home.Domain, id.Part)
+	return view.RelayPeer(id.Home.Domain, id.Part)
 }
 
 // passOn forwards a submission. It returns nil when no answer came.
--- a/pkg/entry/host.go
+++ b/pkg/entry/host.go
@@ -135,11 +135,11 @@
 		h.Log.Warn("host_list_failed", "error", err.Error())
 		return err
 	}
-	var listed []member.Listed
+	var listed []member.ListedHost
 	leaving := map[string]bool{}
 	for _, host := range hosts {
 		if host.PeerAddress != "" {
-			listed = append(listed, member.Listed{Name: host.Name, Domain: host.Domain, Address: host.PeerAddress, Leaving: host.Leaving})
+			listed = append(listed, member.ListedHost{Name: host.Name, Domain: host.Domain, Address: host.PeerAddress, Leaving: host.Leaving})
 		}
 		if host.Executor != "" {
 			leaving[host.Executor] = host.Leaving
--- a/pkg/entry/members.go
+++ b/pkg/entry/members.go
@@ -101,7 +101,7 @@
 func (m *members) LinkUp(address string, hello *peerpb.Hello) {
 	p := peerOf(hello)
 	p.Address = address
-	m.update(func(t *member.Table) { t.Up(p) })
+	m.update(func(t *member.Table) { t.LinkUp(p) })
 }
 
 func peerOf(hello *peerpb.Hello) member.Peer {
@@ -112,7 +112,7 @@
 
 // LinkDown implements peer.Observer.
 func (m *members) LinkDown(address string) {
-	m.update(func(t *member.Table) { t.Down(address, m.Clock.Now()) })
+	m.update(func(t *member.Table) { t.LinkDown(address, m.Clock.Now()) })
 }
 
 // Heartbeat implements peer.Observer.
@@ -151,7 +151,7 @@
 	}
 	if beat.Leaving != p.Leaving {
 		p.Leaving = beat.Leaving
-		m.update(func(t *member.Table) { t.Refresh(p) })
+		m.update(func(t *member.Table) { t.UpdateIfUp(p) })
 	}
 	p.Version, p.Waiting, p.Free, p.Usable = beat.Version, int(beat.Waiting), int(beat.Free), m.usable(beat)
 	m.noteLoad(p)
@@ -175,12 +175,12 @@
 func (m *members) noteLoad(p member.Peer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.Refresh(p)
+	m.table.UpdateIfUp(p)
 	m.current.Store(m.table.View(m.view().Backup))
 }
 
 // setListed takes a new reading of the platform's list.
-func (m *members) setListed(hosts []member.Listed) {
+func (m *members) setListed(hosts []member.ListedHost) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.table.SetListed(hosts)
--- a/pkg/keeping/fakes_test.go
+++ b/pkg/keeping/fakes_test.go
@@ -113,14 +113,14 @@
 	return &fakeHost{coordinator: CoordinatorHost{Self: true}, dispatches: make(chan fakeDispatch, 100), notices: make(chan OwnerNotice, 100)}
 }
 
-func (h *fakeHost) Settled() bool                     { return true }
+func (h *fakeHost) MembershipKnown() bool             { return true }
 func (h *fakeHost) ViewVersion() uint64               { return 1 }
 func (h *fakeHost) CoordinatorOf(int) CoordinatorHost { return h.coordinator }
-func (h *fakeHost) WaitAt(string) time.Duration       { return h.wait }
+func (h *fakeHost) QueueDelay(string) time.Duration   { return h.wait }
 func (h *fakeHost) HasOwner(string) bool              { return !h.noOwner }
 func (h *fakeHost) SeesMinority() bool                { return h.seesMinority.Load() }
-func (h *fakeHost) CellIsGone(string) bool            { return false }
-func (h *fakeHost) Changed() <-chan struct{}          { return make(chan struct{}) }
+func (h *fakeHost) CellRemoved(string) bool           { return false }
+func (h *fakeHost) OwnersChanged() <-chan struct{}    { return make(chan struct{}) }
 func (h *fakeHost) KeptAnswered(string, string)       {}
 
 func (h *fakeHost) KeptWritten(string, int, time.Duration) {}
--- a/pkg/keeping/follow.go
+++ b/pkg/keeping/follow.go
@@ -141,7 +141,7 @@
 	if f.ownerlessSince == 0 {
 		f.ownerlessSince = now
 	}
-	if now > f.ownerlessSince+cellRemovalDelay && f.service().host.CellIsGone(f.record.Cell) {
+	if now > f.ownerlessSince+cellRemovalDelay && f.service().host.CellRemoved(f.record.Cell) {
 		f.moveToOtherCell(ctx)
 		return
 	}
@@ -154,7 +154,7 @@
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-f.service().host.Changed():
+	case <-f.service().host.OwnersChanged():
 	case <-timer.C:
 	}
 }
@@ -187,7 +187,7 @@
 	defer cancel()
 	runs, ok := f.service().host.NotifyOwner(notifyCtx, OwnerNotice{Cell: f.record.From, IDs: []string{f.record.ID}, Moved: true})
 	switch {
-	case !ok && now > f.since+cellRemovalDelay && f.service().host.CellIsGone(f.record.From):
+	case !ok && now > f.since+cellRemovalDelay && f.service().host.CellRemoved(f.record.From):
 		f.released = true // the cell has been removed
 	case !ok:
 		f.awaitChange(ctx)
@@ -237,7 +237,7 @@
 // is done.
 func (f *follower) handleReturned(ctx context.Context, outcome job.Outcome) bool {
 	switch {
-	case cell.NothingRuns(outcome.Reason):
+	case cell.LeavesNoRuns(outcome.Reason):
 		return f.moveToOtherCell(ctx)
 	case outcome.Reason == ReasonProgress:
 		f.checkpoint(outcome.Progress)
@@ -269,7 +269,7 @@
 		return
 	}
 	_, progress := jobOf(record, 0, 0)
-	notice := OwnerNotice{Cell: record.Cell, IDs: []string{record.ID}, Progress: cell.EndsOf(progress)}
+	notice := OwnerNotice{Cell: record.Cell, IDs: []string{record.ID}, Progress: cell.CountEnds(progress)}
 	go s.notifyOwner(notice) // if the notice is lost, the owner requests the checkpoint again
 }
 
--- a/pkg/keeping/service.go
+++ b/pkg/keeping/service.go
@@ -48,10 +48,10 @@
 
 // Reasons of refusals and of answers with the verdict Unknown.
 const (
-	ReasonNoOwner        = "no_owner"
-	ReasonOverloaded     = "overloaded"
-	ReasonNoAnswer       = "keeper_silent"
-	ReasonRowsUnreadable = "rows_unread"
+	ReasonNoOwner                 = "no_owner"
+	ReasonOverloaded              = "overloaded"
+	ReasonCoordinatorUnresponsive = "keeper_silent"
+	ReasonRowsUnreadable          = "rows_unread"
 )
 
 // CoordinatorHost is the host that coordinates a partition.
@@ -71,9 +71,9 @@
 
 // Host is what this package needs of the node.
 type Host interface {
-	// Settled reports whether this host knows the other hosts well enough to tell which of
+	// MembershipKnown reports whether this host knows the other hosts well enough to tell which of
 	// them coordinates each partition.
-	Settled() bool
+	MembershipKnown() bool
 	// ViewVersion changes when hosts join or leave the view.
 	ViewVersion() uint64
 	// CoordinatorOf returns the coordinator of a partition as this host sees it.
@@ -86,19 +86,19 @@
 	AskState(ctx context.Context, address, id string, cancel bool, hops int) (kept.Answer, bool)
 	// ChooseCell returns the cell that should run a job, or false if there is none.
 	ChooseCell(j *job.Job) (string, bool)
-	// WaitAt returns how long a job that is sent to a cell now waits in its queue, by the
+	// QueueDelay returns how long a job that is sent to a cell now waits in its queue, by the
 	// load that its owner reports.
-	WaitAt(cell string) time.Duration
+	QueueDelay(cell string) time.Duration
 	// HasOwner reports whether a cell has a reachable owner.
 	HasOwner(cell string) bool
 	// SeesMinority reports whether this host reaches less than half of the expected hosts.
 	SeesMinority() bool
-	// CellIsGone reports whether the store lists no executors of a cell any more. It is
+	// CellRemoved reports whether the store lists no executors of a cell any more. It is
 	// true only at a host that can read the store and reaches more than half of the
 	// expected hosts.
-	CellIsGone(cell string) bool
-	// Changed returns a channel that is closed when owners may have changed.
-	Changed() <-chan struct{}
+	CellRemoved(cell string) bool
+	// OwnersChanged returns a channel that is closed when owners may have changed.
+	OwnersChanged() <-chan struct{}
 	// Dispatch sends a job to the owner of its cell and waits for its end there.
 	Dispatch(ctx context.Context, j *job.Job, cell string, epoch int, progress []job.Progress) job.Outcome
 	// NotifyOwner sends a notice to the owner of a cell. It returns the moved jobs that
@@ -147,7 +147,7 @@
 	nextView := time.Duration(0)
 	for common.Sleep(ctx, s.pause()) {
 		now := s.Clock.Now()
-		if now >= nextView && s.host.Settled() {
+		if now >= nextView && s.host.MembershipKnown() {
 			s.updateCoordinators(now)
 			nextView = now + viewInterval
 		}
@@ -204,7 +204,7 @@
 	if !ok {
 		return s.recordAnswer("keep", j.ID, s.refuseUnlessKept(ctx, j.ID, ReasonNoOwner, retryDelay))
 	}
-	if wait := s.host.WaitAt(cell); s.endsTooLate(j, wait) {
+	if wait := s.host.QueueDelay(cell); s.endsTooLate(j, wait) {
 		return s.recordAnswer("keep", j.ID, s.refuseUnlessKept(ctx, j.ID, ReasonOverloaded, max(wait, retryDelay)))
 	}
 	return s.recordAnswer("keep", j.ID, s.keepAt(ctx, cell, j, 0))
@@ -263,7 +263,7 @@
 	}
 	local := s.keepLocally(ctx, cell, j)
 	if local.Verdict == kept.Refused && sent && answer.Verdict != kept.Refused {
-		return kept.Answer{Verdict: kept.Unknown, Reason: ReasonNoAnswer, RetryAfter: retryDelay} // the coordinator may have kept the job
+		return kept.Answer{Verdict: kept.Unknown, Reason: ReasonCoordinatorUnresponsive, RetryAfter: retryDelay} // the coordinator may have kept the job
 	}
 	return local
 }
@@ -273,7 +273,7 @@
 	ctx, cancel := context.WithTimeout(ctx, min(cellWait, remainingTime(ctx)/2))
 	defer cancel()
 	for {
-		changed := s.host.Changed()
+		changed := s.host.OwnersChanged()
 		if cell, ok := s.host.ChooseCell(j); ok {
 			return cell, true
 		}
--- a/pkg/member/hubs.go
+++ b/pkg/member/hubs.go
@@ -26,12 +26,12 @@
 )
 
 // rankedHosts holds the listed hosts of a domain, those that become hubs first.
-type rankedHosts []Listed
+type rankedHosts []ListedHost
 
 // rankHosts sorts hosts by descending weight, and hosts of equal weight by a hash on which
 // all hosts agree.
-func rankHosts(hosts []Listed) rankedHosts {
-	slices.SortFunc(hosts, func(a, b Listed) int {
+func rankHosts(hosts []ListedHost) rankedHosts {
+	slices.SortFunc(hosts, func(a, b ListedHost) int {
 		return cmp.Or(
 			cmp.Compare(b.Weight, a.Weight),
 			cmp.Compare(Score(a.Domain, b.Address), Score(a.Domain, a.Address)),
@@ -47,7 +47,7 @@
 
 // rankDomains groups the listed hosts by domain and ranks them.
 func (t *Table) rankDomains() {
-	byDomain := map[string][]Listed{}
+	byDomain := map[string][]ListedHost{}
 	for _, host := range t.listed {
 		byDomain[host.Domain] = append(byDomain[host.Domain], host)
 	}
@@ -90,22 +90,22 @@
 	return hubs, unreachable
 }
 
-// HubTest reports which hosts are hubs at one point in time.
-type HubTest struct {
+// HubSnapshot reports which hosts are hubs at one point in time.
+type HubSnapshot struct {
 	table   *Table
 	ownHubs []string // of the own domain
 }
 
-// HubTest computes the hubs once for several calls of IsHub. The table must not change
+// HubSnapshot computes the hubs once for several calls of IsHub. The table must not change
 // between these.
-func (t *Table) HubTest(now time.Duration) HubTest {
+func (t *Table) HubSnapshot(now time.Duration) HubSnapshot {
 	own, _ := t.hubs(now)
-	return HubTest{table: t, ownHubs: own}
+	return HubSnapshot{table: t, ownHubs: own}
 }
 
 // IsHub reports whether a host may own cells and read the store for its domain, as may all
 // hosts of small domains and hosts that aren't listed yet.
-func (h HubTest) IsHub(address, domain string) bool {
+func (h HubSnapshot) IsHub(address, domain string) bool {
 	hosts := h.table.domains[domain]
 	if _, listed := h.table.listed[address]; !hosts.isLarge() || !listed {
 		return true
@@ -114,12 +114,12 @@
 		return slices.Contains(h.ownHubs, address)
 	}
 	first := hosts[:hubCount]
-	return slices.ContainsFunc(first, func(host Listed) bool { return host.Address == address })
+	return slices.ContainsFunc(first, func(host ListedHost) bool { return host.Address == address })
 }
 
 // IsHub is HubTest.IsHub for a single call.
 func (t *Table) IsHub(address, domain string, now time.Duration) bool {
-	return t.HubTest(now).IsHub(address, domain)
+	return t.HubSnapshot(now).IsHub(address, domain)
 }
 
 // IsLarge reports whether the own domain has too many hosts for each of them to hold links
--- a/pkg/member/hubs_test.go
+++ b/pkg/member/hubs_test.go
@@ -10,7 +10,7 @@
 )
 
 // mixedDomain lists hosts of a domain, of which every seventh is strong.
-func mixedDomain(domain string, count int) []Listed {
+func mixedDomain(domain string, count int) []ListedHost {
 	hosts := listed(domain, count)
 	for i := range hosts {
 		hosts[i].Weight = 192
@@ -21,7 +21,7 @@
 	return hosts
 }
 
-func tableOf(host Listed, hosts []Listed) *Table {
+func tableOf(host ListedHost, hosts []ListedHost) *Table {
 	t := NewTable(Peer{Name: host.Name, Domain: host.Domain, Address: host.Address}, nil, 2)
 	t.SetListed(hosts)
 	return t
@@ -62,7 +62,7 @@
 		if i%7 == 0 {
 			qt.Assert(t, slices.Contains(want, host.Address), qt.IsTrue, qt.Commentf("a strong host"))
 		}
-		far := tableOf(Listed{Name: "x", Domain: "b", Address: "x:1"}, hosts)
+		far := tableOf(ListedHost{Name: "x", Domain: "b", Address: "x:1"}, hosts)
 		qt.Assert(t, far.IsHub(host.Address, "a", 0), qt.Equals, slices.Contains(want, host.Address))
 	}
 }
@@ -74,7 +74,7 @@
 	table := tableOf(hosts[1], hosts)
 	first, _ := table.hubs(0)
 	for _, address := range first[1:] {
-		table.Up(Peer{Address: address, Domain: "a"})
+		table.LinkUp(Peer{Address: address, Domain: "a"})
 	}
 	table.Wanted(0)
 	hubs, unreachable := table.hubs(hubGracePeriod)
@@ -85,7 +85,7 @@
 	qt.Assert(t, unreachable, qt.DeepEquals, first[:1])
 	qt.Assert(t, table.Wanted(hubGracePeriod+time.Second), qt.Contains, first[0], qt.Commentf("still dialled"))
 
-	table.Up(Peer{Address: first[0], Domain: "a"})
+	table.LinkUp(Peer{Address: first[0], Domain: "a"})
 	hubs, _ = table.hubs(hubGracePeriod + 2*time.Second)
 	qt.Assert(t, hubs, qt.DeepEquals, first)
 }
--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -26,8 +26,8 @@
 	redialers    = 4 // hosts of a domain that dial each host that has left
 )
 
-// Listed is a host in the platform's list, which may be outdated or wrong.
-type Listed struct {
+// ListedHost is a host in the platform's list, which may be outdated or wrong.
+type ListedHost struct {
 	Name    string
 	Domain  string
 	Address string // for peers, IP:port
@@ -54,7 +54,7 @@
 	self             Peer
 	seeds            []string
 	perDomain        int
-	listed           map[string]Listed        // by address
+	listed           map[string]ListedHost    // by address
 	gossip           map[string]time.Duration // by address: time of the last announcement
 	up               map[string]Peer          // by address: links that are up
 	leftAt           map[string]time.Duration // by address: when hosts stopped as planned
@@ -70,7 +70,7 @@
 		self:             self,
 		seeds:            seeds,
 		perDomain:        perDomain,
-		listed:           map[string]Listed{},
+		listed:           map[string]ListedHost{},
 		gossip:           map[string]time.Duration{},
 		up:               map[string]Peer{},
 		leftAt:           map[string]time.Duration{},
@@ -83,8 +83,8 @@
 func (t *Table) ForgetSeeds() { t.seeds = nil }
 
 // SetListed replaces the hosts by a new reading of the platform's list.
-func (t *Table) SetListed(hosts []Listed) {
-	t.listed = make(map[string]Listed, len(hosts))
+func (t *Table) SetListed(hosts []ListedHost) {
+	t.listed = make(map[string]ListedHost, len(hosts))
 	for _, host := range hosts {
 		t.listed[host.Address] = host
 	}
@@ -137,8 +137,8 @@
 	return isNew
 }
 
-// Up records that a link is up, or a change of its peer's state.
-func (t *Table) Up(peer Peer) {
+// LinkUp records that a link is up, or a change of its peer's state.
+func (t *Table) LinkUp(peer Peer) {
 	delete(t.leftAt, peer.Address)
 	delete(t.unreachableSince, peer.Address)
 	t.up[peer.Address] = peer
@@ -150,17 +150,17 @@
 	return peer, up
 }
 
-// Refresh updates the state of a peer, unless its link has gone down or leads to another
+// UpdateIfUp updates the state of a peer, unless its link has gone down or leads to another
 // incarnation by now.
-func (t *Table) Refresh(peer Peer) {
+func (t *Table) UpdateIfUp(peer Peer) {
 	if known, ok := t.up[peer.Address]; ok && known.Incarnation == peer.Incarnation {
 		t.up[peer.Address] = peer
 	}
 }
 
-// Down records that a link went down. A peer that was leaving counts as stopped, any other
+// LinkDown records that a link went down. A peer that was leaving counts as stopped, any other
 // one as unreachable.
-func (t *Table) Down(address string, now time.Duration) {
+func (t *Table) LinkDown(address string, now time.Duration) {
 	if t.up[address].Leaving {
 		t.leftAt[address] = now
 		delete(t.gossip, address)
@@ -344,9 +344,9 @@
 	return Peer{}, false
 }
 
-// InDomain returns a peer of a domain to relay through, chosen by rendezvous hashing of the
+// RelayPeer returns a peer of a domain to relay through, chosen by rendezvous hashing of the
 // key.
-func (v *View) InDomain(domain, key string) (Peer, bool) {
+func (v *View) RelayPeer(domain, key string) (Peer, bool) {
 	var best Peer
 	var bestScore uint64
 	for _, peer := range v.Peers {
--- a/pkg/member/member_test.go
+++ b/pkg/member/member_test.go
@@ -14,11 +14,11 @@
 	return Peer{Name: fmt.Sprintf("%s-%d", domain, i), Domain: domain, Address: fmt.Sprintf("%s:%d", domain, i), Incarnation: once.Incarnation{byte(i), domain[0]}}
 }
 
-func listed(domain string, n int) []Listed {
-	var list []Listed
+func listed(domain string, n int) []ListedHost {
+	var list []ListedHost
 	for i := range n {
 		p := peerNamed(i+1, domain)
-		list = append(list, Listed{Name: p.Name, Domain: domain, Address: p.Address})
+		list = append(list, ListedHost{Name: p.Name, Domain: domain, Address: p.Address})
 	}
 	return list
 }
@@ -34,7 +34,7 @@
 		{"own domain listed, without this host", func(t *Table) { t.SetListed(listed("a", 3)) }, 0, 3},
 		{"some hosts of another domain", func(t *Table) { t.SetListed(listed("b", 30)) }, 0, 3},
 		{"some hosts of each of eight domains", func(t *Table) {
-			var all []Listed
+			var all []ListedHost
 			for _, domain := range []string{"b", "c", "d", "e", "f", "g", "h", "i"} {
 				all = append(all, listed(domain, 30)...)
 			}
@@ -42,7 +42,7 @@
 		}, 0, 17},
 		{"announced by a peer", func(t *Table) { t.AddAddresses([]string{"x:1"}, 0) }, 0, 2},
 		{"announcement expired", func(t *Table) { t.AddAddresses([]string{"x:1"}, 0) }, gossipTTL + 1, 1},
-		{"announcement expired, but link up", func(t *Table) { t.AddAddresses([]string{"x:1"}, 0); t.Up(Peer{Address: "x:1"}) }, gossipTTL + 1, 2},
+		{"announcement expired, but link up", func(t *Table) { t.AddAddresses([]string{"x:1"}, 0); t.LinkUp(Peer{Address: "x:1"}) }, gossipTTL + 1, 2},
 		{"removed from the list", func(t *Table) { t.SetListed(listed("a", 3)); t.SetListed(nil) }, 0, 1},
 	}
 	for _, s := range scenarios {
@@ -63,12 +63,12 @@
 		reader   bool
 	}{
 		{"alone", func(*Table) {}, 1, false, true},
-		{"with two peers", func(t *Table) { t.Up(peerNamed(1, "a")); t.Up(peerNamed(3, "a")) }, 3, true, false},
-		{"a peer's link went down", func(t *Table) { t.Up(peerNamed(1, "a")); t.Down("a:1", 0) }, 1, false, true},
-		{"a peer is leaving", func(t *Table) { p := peerNamed(1, "a"); p.Leaving = true; t.Up(p) }, 1, false, true},
-		{"a peer of another domain", func(t *Table) { t.Up(peerNamed(1, "b")) }, 1, false, true},
-		{"this host is leaving", func(t *Table) { t.Up(peerNamed(1, "a")); t.SetLeaving() }, 1, true, false},
-		{"two addresses of one host", func(t *Table) { p := peerNamed(1, "a"); t.Up(p); p.Address = "z"; t.Up(p) }, 2, true, false},
+		{"with two peers", func(t *Table) { t.LinkUp(peerNamed(1, "a")); t.LinkUp(peerNamed(3, "a")) }, 3, true, false},
+		{"a peer's link went down", func(t *Table) { t.LinkUp(peerNamed(1, "a")); t.LinkDown("a:1", 0) }, 1, false, true},
+		{"a peer is leaving", func(t *Table) { p := peerNamed(1, "a"); p.Leaving = true; t.LinkUp(p) }, 1, false, true},
+		{"a peer of another domain", func(t *Table) { t.LinkUp(peerNamed(1, "b")) }, 1, false, true},
+		{"this host is leaving", func(t *Table) { t.LinkUp(peerNamed(1, "a")); t.SetLeaving() }, 1, true, false},
+		{"two addresses of one host", func(t *Table) { p := peerNamed(1, "a"); t.LinkUp(p); p.Address = "z"; t.LinkUp(p) }, 2, true, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -87,14 +87,14 @@
 func TestRefreshIgnoresLateHeartbeats(t *testing.T) {
 	table := NewTable(peerNamed(1, "a"), nil, 2)
 	old := peerNamed(2, "a")
-	table.Up(old)
-	table.Down(old.Address, 0)
-	table.Refresh(old)
+	table.LinkUp(old)
+	table.LinkDown(old.Address, 0)
+	table.UpdateIfUp(old)
 	qt.Assert(t, table.View(once.Incarnation{}).Peers, qt.HasLen, 0)
 	replaced := old
 	replaced.Incarnation = once.Incarnation{99}
-	table.Up(replaced)
-	table.Refresh(old)
+	table.LinkUp(replaced)
+	table.UpdateIfUp(old)
 	_, ok := table.View(once.Incarnation{}).ByIncarnation(replaced.Incarnation)
 	qt.Assert(t, ok, qt.IsTrue)
 }
@@ -104,16 +104,16 @@
 func TestBackupIsKept(t *testing.T) {
 	table := NewTable(peerNamed(1, "a"), nil, 2)
 	for i := 2; i <= 9; i++ {
-		table.Up(peerNamed(i, "a"))
+		table.LinkUp(peerNamed(i, "a"))
 	}
 	first := table.View(once.Incarnation{}).Backup
 	for i := 10; i <= 30; i++ {
-		table.Up(peerNamed(i, "a"))
+		table.LinkUp(peerNamed(i, "a"))
 	}
 	qt.Assert(t, table.View(first).Backup, qt.Equals, first)
 	backup, ok := table.View(first).ByIncarnation(first)
 	qt.Assert(t, ok, qt.IsTrue)
-	table.Down(backup.Address, 0)
+	table.LinkDown(backup.Address, 0)
 	next := table.View(first).Backup
 	qt.Assert(t, next, qt.Not(qt.Equals), first)
 	qt.Assert(t, next.IsZero(), qt.IsFalse)
@@ -130,15 +130,15 @@
 	}{
 		{"a seed before the list was read", func(*Table) {}, 1},
 		{"an unlisted seed", setList, 2},
-		{"an unreachable host", func(t *Table) { setList(t); t.Up(peerNamed(1, "a")); t.Down("a:1", 0) }, 2},
-		{"a host that has left but is still listed", func(t *Table) { setList(t); t.Up(leaving); t.Down("a:1", 0) }, 1},
+		{"an unreachable host", func(t *Table) { setList(t); t.LinkUp(peerNamed(1, "a")); t.LinkDown("a:1", 0) }, 2},
+		{"a host that has left but is still listed", func(t *Table) { setList(t); t.LinkUp(leaving); t.LinkDown("a:1", 0) }, 1},
 		{"a host that has left but is announced by a peer", func(t *Table) {
 			t.SetListed(listed("a", 1))
-			t.Up(leaving)
-			t.Down("a:1", 0)
+			t.LinkUp(leaving)
+			t.LinkDown("a:1", 0)
 			t.AddAddresses([]string{"a:1"}, 0)
 		}, 0},
-		{"a host that has left and restarted", func(t *Table) { setList(t); t.Up(leaving); t.Down("a:1", 0); t.LinkAccepted("a:1", 0) }, 2},
+		{"a host that has left and restarted", func(t *Table) { setList(t); t.LinkUp(leaving); t.LinkDown("a:1", 0); t.LinkAccepted("a:1", 0) }, 2},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -159,13 +159,13 @@
 			table := NewTable(peerNamed(self, domain), nil, 2)
 			for other := 1; other <= hosts; other++ {
 				if other != self {
-					table.Up(peerNamed(other, "a"))
+					table.LinkUp(peerNamed(other, "a"))
 				}
 			}
 			departed := peerNamed(1, "a")
 			departed.Leaving = true
-			table.Up(departed)
-			table.Down(departed.Address, 0)
+			table.LinkUp(departed)
+			table.LinkDown(departed.Address, 0)
 			for _, address := range table.Wanted(now) {
 				if address == departed.Address {
 					count++
--- a/pkg/metrics/node.go
+++ b/pkg/metrics/node.go
@@ -127,8 +127,8 @@
 	n.response.Record(context.Background(), took.Seconds(), n.labels.pair("route", route, "outcome", outcome))
 }
 
-// OrderAnswered counts an order to an executor.
-func (n *Node) OrderAnswered(kind, verdict string) {
+// CommandAnswered counts an order to an executor.
+func (n *Node) CommandAnswered(kind, verdict string) {
 	n.orders.Add(context.Background(), 1, n.labels.pair("kind", kind, "verdict", verdict))
 }
 
@@ -137,8 +137,8 @@
 	n.claims.Add(context.Background(), 1, metric.WithAttributes(attribute.String("reason", reason)))
 }
 
-// JobHandedOn counts a job that goes to another owner.
-func (n *Node) JobHandedOn(reason string) {
+// JobRedispatched counts a job that goes to another owner.
+func (n *Node) JobRedispatched(reason string) {
 	n.handOns.Add(context.Background(), 1, metric.WithAttributes(attribute.String("reason", reason)))
 }
 
--- a/pkg/metrics/node_test.go
+++ b/pkg/metrics/node_test.go
@@ -15,9 +15,9 @@
 	n, err := NewNode(func() NodeGauges { return NodeGauges{OpenJobs: 3, Version: 7} }, carried(c, "hello"))
 	c.Assert(err, qt.IsNil)
 	n.JobEnded("route", "completed", 100*time.Millisecond)
-	n.OrderAnswered("start", "accepted")
+	n.CommandAnswered("start", "accepted")
 	n.OwnershipChanged("claimed")
-	n.JobHandedOn("lost")
+	n.JobRedispatched("lost")
 	n.StoreFailed("executors")
 	n.RowsUnreadable("executors", "no_document", 2)
 	assertServed(c, n.Handler(),
--- a/pkg/node/attempt.go
+++ b/pkg/node/attempt.go
@@ -93,7 +93,7 @@
 			continue
 		}
 		state.epoch++
-		f.node.metrics.JobHandedOn(outcome.Kind.String())
+		f.node.metrics.JobRedispatched(outcome.Kind.String())
 		f.node.Log.Info("job_handed_on", "job", j.ID, "cell", claim.Cell, "token", claim.Token, "epoch", state.epoch, "why", outcome.Kind.String(), "reason", outcome.Reason)
 		if outcome, ended := f.rejoin(ctx, j); ended {
 			outcome.Started = outcome.Started || state.started
--- a/pkg/node/calls.go
+++ b/pkg/node/calls.go
@@ -66,7 +66,7 @@
 }
 
 func (c *calls) start(o *owner, command *cell.Command) {
-	request := StartOrder{Task: command.Task, Run: command.Run, Spec: command.Spec, Deadline: command.Deadline, Token: command.Token}
+	request := StartRequest{Task: command.Task, Run: command.Run, Spec: command.Spec, Deadline: command.Deadline, Token: command.Token}
 	sentAt := c.clock()
 	pending := c.overdueCalls.begin(c.trips.Timeout(), func() {
 		o.do(func(state *cell.Cell, now time.Duration) {
@@ -76,7 +76,7 @@
 	result := c.executors.Start(&command.Executor, request, pending.timeout)
 	late := pending.finish()
 	c.observe(result.Verdict, c.clock()-sentAt)
-	o.node.metrics.OrderAnswered("start", result.Verdict.String())
+	o.node.metrics.CommandAnswered("start", result.Verdict.String())
 	c.logNotAccepted("start_not_accepted", o, command, result, sentAt)
 	o.do(func(state *cell.Cell, now time.Duration) {
 		if late {
@@ -88,7 +88,7 @@
 }
 
 func (c *calls) stop(o *owner, command *cell.Command) {
-	request := StopOrder{Task: command.Task, Run: command.Run, Token: command.Token}
+	request := StopRequest{Task: command.Task, Run: command.Run, Token: command.Token}
 	sentAt := c.clock()
 	answered := func(verdict cell.Verdict, clock time.Duration) {
 		o.do(func(state *cell.Cell, now time.Duration) {
@@ -99,7 +99,7 @@
 	result := c.executors.Stop(&command.Executor, request, pending.timeout)
 	late := pending.finish()
 	c.observe(result.Verdict, c.clock()-sentAt)
-	o.node.metrics.OrderAnswered("stop", result.Verdict.String())
+	o.node.metrics.CommandAnswered("stop", result.Verdict.String())
 	c.logNotAccepted("stop_not_accepted", o, command, result, sentAt)
 	if !late {
 		answered(result.Verdict, result.Clock)
@@ -116,7 +116,7 @@
 }
 
 func (c *calls) hold(o *owner, command *cell.Command) {
-	request := HoldOrder{Deadline: command.Deadline, Token: command.Token, LastSeen: command.LastSeen, Wait: command.Wait}
+	request := HoldRequest{Deadline: command.Deadline, Token: command.Token, AckedEnd: command.AckedEnd, Wait: command.Wait}
 	sentAt := c.clock()
 	pending := c.overdueCalls.begin(command.Wait+c.trips.Timeout(), func() {
 		o.do(func(state *cell.Cell, now time.Duration) {
@@ -125,7 +125,7 @@
 	})
 	response := c.executors.Hold(&command.Executor, request, pending.timeout)
 	late := pending.finish()
-	o.node.metrics.OrderAnswered("hold", response.Verdict.String())
+	o.node.metrics.CommandAnswered("hold", response.Verdict.String())
 	if response.Message != "" { // the cell logs an unanswered request itself, once
 		c.logNotAccepted("hold_not_accepted", o, command, CommandResult{Verdict: response.Verdict, Message: response.Message}, sentAt)
 	}
--- a/pkg/node/closures_test.go
+++ b/pkg/node/closures_test.go
@@ -91,7 +91,7 @@
 func TestHeartbeatsAnnounceClosedDomains(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
-	n.members.Up(member.Peer{Name: "b", Domain: "z", Address: "b:1", Incarnation: once.Incarnation{2}})
+	n.members.LinkUp(member.Peer{Name: "b", Domain: "z", Address: "b:1", Incarnation: once.Incarnation{2}})
 	announce := func(position uint64, domains ...string) {
 		n.handleHeartbeat("b:1", &peerpb.Heartbeat{ClosuresPosition: position, ClosedDomains: domains})
 	}
--- a/pkg/node/dispatch.go
+++ b/pkg/node/dispatch.go
@@ -31,7 +31,7 @@
 	}
 	done := make(chan job.Outcome, 1)
 	self := f.node.settings.PeerAddress
-	handover := cell.Handover{Job: j, Epoch: state.epoch, Progress: state.progress, SettleAt: settleAt, RenewedAt: f.node.renewals.sureHere()}
+	handover := cell.Handover{Job: j, Epoch: state.epoch, Progress: state.progress, NotBefore: settleAt, RenewedAt: f.node.renewals.sureHere()}
 	o.submit(handover, waiter{front: self, reply: func(outcome job.Outcome) { done <- outcome }})
 	select {
 	case outcome := <-done:
--- a/pkg/node/foreign.go
+++ b/pkg/node/foreign.go
@@ -102,8 +102,8 @@
 		if i == maxProbedExecutors || reached {
 			break
 		}
-		verdict := n.front.calls.executors.Hold(&executor, HoldOrder{}, probeTimeout).Verdict
-		reached = !verdict.MayBeDone() && verdict != cell.Unreached
+		verdict := n.front.calls.executors.Hold(&executor, HoldRequest{}, probeTimeout).Verdict
+		reached = !verdict.IsUnresolved() && verdict != cell.Unreached
 	}
 	n.foreignDomains.recordProbe(domain, reached, n.Clock.Now())
 }
--- a/pkg/node/foreign_test.go
+++ b/pkg/node/foreign_test.go
@@ -35,7 +35,7 @@
 	verdict cell.Verdict
 }
 
-func (e *answeringExecutors) Hold(*catalog.Executor, HoldOrder, time.Duration) cell.HoldResponse {
+func (e *answeringExecutors) Hold(*catalog.Executor, HoldRequest, time.Duration) cell.HoldResponse {
 	return cell.HoldResponse{Verdict: e.verdict}
 }
 
--- a/pkg/node/heartbeat_handling.go
+++ b/pkg/node/heartbeat_handling.go
@@ -49,7 +49,7 @@
 	}
 	if p.Leaving != heartbeat.Leaving {
 		p.Leaving = heartbeat.Leaving
-		n.members.Refresh(p)
+		n.members.UpdateIfUp(p)
 		n.viewVersion.Add(1)
 	}
 	changes.claims = n.claims.SetClaims(address, fromCellLoads(heartbeat.Cells))
--- a/pkg/node/heartbeat_test.go
+++ b/pkg/node/heartbeat_test.go
@@ -49,7 +49,7 @@
 	n := newTestNode(c, &fakeStore{})
 	for i, domain := range []string{"y", "y", "z"} {
 		name := string(rune('b' + i))
-		n.members.Up(member.Peer{Name: name, Domain: domain, Address: name + ":1", Incarnation: once.Incarnation{byte(10 + i)}})
+		n.members.LinkUp(member.Peer{Name: name, Domain: domain, Address: name + ":1", Incarnation: once.Incarnation{byte(10 + i)}})
 	}
 	from := &peerpb.Hello{Domain: "y", Address: "b:1"}
 	c.Assert(n.heartbeatFor(from, &peerpb.Heartbeat{}).Neighbours, qt.HasLen, 0)
--- a/pkg/node/kept_host.go
+++ b/pkg/node/kept_host.go
@@ -27,8 +27,8 @@
 	computedAt   time.Duration
 }
 
-// Settled implements keeping.Host.
-func (h *keptHost) Settled() bool {
+// MembershipKnown implements keeping.Host.
+func (h *keptHost) MembershipKnown() bool {
 	h.node.mu.Lock()
 	defer h.node.mu.Unlock()
 	return h.node.rowsRead && h.node.Clock.Now() >= startupGrace
@@ -111,7 +111,7 @@
 	}
 	answer, err := link.Call(ctx, m, 0)
 	if err != nil || answer.GetKeptReply() == nil {
-		return kept.Answer{Verdict: kept.Unknown, Reason: keeping.ReasonNoAnswer, RetryAfter: comeBack}, true
+		return kept.Answer{Verdict: kept.Unknown, Reason: keeping.ReasonCoordinatorUnresponsive, RetryAfter: comeBack}, true
 	}
 	return fromKeptReply(answer.GetKeptReply()), true
 }
@@ -122,8 +122,8 @@
 	return claim.Cell, ok
 }
 
-// WaitAt implements keeping.Host.
-func (h *keptHost) WaitAt(cell string) time.Duration {
+// QueueDelay implements keeping.Host.
+func (h *keptHost) QueueDelay(cell string) time.Duration {
 	claim, ok := h.ownerOf(cell)
 	if !ok || claim.Load.CapacityCPU == 0 {
 		return 0
@@ -151,8 +151,8 @@
 	return 2*(len(view.Up)+1) < view.Expected
 }
 
-// CellIsGone implements keeping.Host.
-func (h *keptHost) CellIsGone(cell string) bool {
+// CellRemoved implements keeping.Host.
+func (h *keptHost) CellRemoved(cell string) bool {
 	listing := h.node.executors.Load()
 	if listing == nil || h.node.storeFails.Load() {
 		return false
@@ -166,8 +166,8 @@
 	return 2*(len(view.Up)+1) > view.Expected
 }
 
-// Changed implements keeping.Host.
-func (h *keptHost) Changed() <-chan struct{} { return h.node.changed.wait() }
+// OwnersChanged implements keeping.Host.
+func (h *keptHost) OwnersChanged() <-chan struct{} { return h.node.changed.wait() }
 
 // Dispatch implements keeping.Host.
 func (h *keptHost) Dispatch(ctx context.Context, j *job.Job, cell string, epoch int, progress []job.Progress) job.Outcome {
--- a/pkg/node/members.go
+++ b/pkg/node/members.go
@@ -30,11 +30,11 @@
 
 // setRows replaces the hosts' rows by those of a new read.
 func (n *Node) setRows(rows []Member) {
-	listed := make([]member.Listed, 0, len(rows))
+	listed := make([]member.ListedHost, 0, len(rows))
 	byName := map[string]Member{}
 	for _, row := range rows {
 		byName[row.Name] = row
-		listed = append(listed, member.Listed{Name: row.Name, Domain: row.Domain, Address: row.PeerAddress, Weight: row.Capacity.CPU})
+		listed = append(listed, member.ListedHost{Name: row.Name, Domain: row.Domain, Address: row.PeerAddress, Weight: row.Capacity.CPU})
 	}
 	n.mu.Lock()
 	n.rows = byName
@@ -104,7 +104,7 @@
 	copy(p.Incarnation[:], hello.Incarnation)
 	n.mu.Lock()
 	isReachableAgain := p.Domain == n.settings.Domain && !n.seesMate(address)
-	n.members.Up(p)
+	n.members.LinkUp(p)
 	n.viewVersion.Add(1)
 	n.mu.Unlock()
 	n.changed.signal()
@@ -120,7 +120,7 @@
 	n.mu.Lock()
 	// In a large domain links to hosts that own nothing are closed all the time.
 	mayClaim := n.claims.Owns(address) || !n.members.IsLarge()
-	n.members.Down(address, n.Clock.Now())
+	n.members.LinkDown(address, n.Clock.Now())
 	n.viewVersion.Add(1)
 	n.renewals.forget(address)
 	n.claims.Forget(address)
@@ -214,7 +214,7 @@
 // onFenced releases a cell whose executors have accepted another owner's token.
 func (n *Node) onFenced(o *owner) {
 	n.mu.Lock()
-	n.claims.Fenced(o.cell, n.ownershipView(), n.Clock.Now())
+	n.claims.ClaimRefused(o.cell, n.ownershipView(), n.Clock.Now())
 	n.mu.Unlock()
 	n.release(o, "fenced")
 }
@@ -233,7 +233,7 @@
 	}
 	handover := cell.Handover{
 		Job: jobwire.FromDispatch(m, now), Epoch: int(m.Epoch), Progress: jobwire.FromProgress(m.Progress),
-		SettleAt: settleAt, RenewedAt: n.timeOf(m.Renewed),
+		NotBefore: settleAt, RenewedAt: n.timeOf(m.Renewed),
 	}
 	o.submit(handover, waiter{
 		front: from.Address, connection: from,
--- a/pkg/node/owner.go
+++ b/pkg/node/owner.go
@@ -104,7 +104,7 @@
 	o.lastRun = now
 	if gap > longestGap {
 		o.node.Log.Warn("owner_stood_still", "cell", o.cell, "gap_ms", gap.Milliseconds())
-		o.state.Pause(now + pauseAfterStall)
+		o.state.PauseStarts(now + pauseAfterStall)
 	}
 }
 
@@ -263,7 +263,7 @@
 	busy := false
 	o.do(func(state *cell.Cell, now time.Duration) {
 		state.Tick(now)
-		busy = state.Busy()
+		busy = state.NeedsTicks()
 		for id, e := range o.ended {
 			if now > e.until {
 				delete(o.ended, id)
@@ -317,7 +317,7 @@
 func (o *owner) busy() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.state.Busy()
+	return o.state.NeedsTicks()
 }
 
 func (o *owner) load(now time.Duration) ownership.Load {
--- a/pkg/node/owner_test.go
+++ b/pkg/node/owner_test.go
@@ -28,5 +28,5 @@
 	c.Assert(outcomes[0].Kind, qt.Equals, job.Refused)
 	submit(time.Minute)
 	c.Assert(outcomes, qt.HasLen, 1, qt.Commentf("the job waits for capacity"))
-	c.Assert(o.state.Busy(), qt.IsTrue)
+	c.Assert(o.state.NeedsTicks(), qt.IsTrue)
 }
--- a/pkg/node/ports.go
+++ b/pkg/node/ports.go
@@ -83,8 +83,8 @@
 	Withdraw(ctx context.Context, name string) error
 }
 
-// StartOrder is the request to an executor to start a run.
-type StartOrder struct {
+// StartRequest is the request to an executor to start a run.
+type StartRequest struct {
 	Task     string
 	Run      int64
 	Spec     string
@@ -92,16 +92,16 @@
 	Token    int64
 }
 
-// HoldOrder is the long-poll request that renews an executor's leases and lists its runs.
-type HoldOrder struct {
+// HoldRequest is the long-poll request that renews an executor's leases and lists its runs.
+type HoldRequest struct {
 	Deadline time.Duration // end of the leases on the executor's clock; 0 renews nothing
 	Token    int64
-	LastSeen int64
+	AckedEnd int64
 	Wait     time.Duration
 }
 
-// StopOrder is the request to an executor to stop a run.
-type StopOrder struct {
+// StopRequest is the request to an executor to stop a run.
+type StopRequest struct {
 	Task  string
 	Run   int64
 	Token int64
@@ -117,9 +117,9 @@
 // Executors sends requests to executors. A call returns after at most timeout and has no
 // error: a missing answer is a verdict, too.
 type Executors interface {
-	Start(executor *catalog.Executor, request StartOrder, timeout time.Duration) CommandResult
-	Stop(executor *catalog.Executor, request StopOrder, timeout time.Duration) CommandResult
-	Hold(executor *catalog.Executor, request HoldOrder, timeout time.Duration) cell.HoldResponse
+	Start(executor *catalog.Executor, request StartRequest, timeout time.Duration) CommandResult
+	Stop(executor *catalog.Executor, request StopRequest, timeout time.Duration) CommandResult
+	Hold(executor *catalog.Executor, request HoldRequest, timeout time.Duration) cell.HoldResponse
 }
 
 // Service is the part of the node that an adapter's front uses.
--- a/pkg/node/relaying.go
+++ b/pkg/node/relaying.go
@@ -14,7 +14,7 @@
 func (n *Node) readsForDomain() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	hubs := n.members.HubTest(n.Clock.Now())
+	hubs := n.members.HubSnapshot(n.Clock.Now())
 	if !hubs.IsHub(n.settings.PeerAddress, n.settings.Domain) {
 		return false
 	}
--- a/pkg/node/relaying_test.go
+++ b/pkg/node/relaying_test.go
@@ -26,7 +26,7 @@
 		"a": {Name: "a", Domain: "z", PeerAddress: n.settings.PeerAddress, Capacity: ownership.Capacity{LinkMbps: ownMbps}},
 		"b": {Name: "b", Domain: domain, PeerAddress: otherAddress, Capacity: ownership.Capacity{LinkMbps: otherMbps}},
 	}
-	n.members.Up(member.Peer{Name: "b", Domain: domain, Address: otherAddress, Incarnation: once.Incarnation{2}})
+	n.members.LinkUp(member.Peer{Name: "b", Domain: domain, Address: otherAddress, Incarnation: once.Incarnation{2}})
 	return n
 }
 
--- a/pkg/node/rows_test.go
+++ b/pkg/node/rows_test.go
@@ -30,12 +30,12 @@
 			c := qt.New(t)
 			n := newTestNode(c, &fakeStore{})
 			n.rows = map[string]Member{"gone": {Name: "gone", Domain: s.domain, PeerAddress: "127.0.0.9:1"}}
-			n.members.SetListed([]member.Listed{{Name: "gone", Domain: s.domain, Address: "127.0.0.9:1"}, {Name: "b", Domain: "z", Address: "127.0.0.2:1"}})
+			n.members.SetListed([]member.ListedHost{{Name: "gone", Domain: s.domain, Address: "127.0.0.9:1"}, {Name: "b", Domain: "z", Address: "127.0.0.2:1"}})
 			if !s.alone {
-				n.members.Up(member.Peer{Name: "b", Domain: "z", Address: "127.0.0.2:1", Incarnation: once.Incarnation{2}})
+				n.members.LinkUp(member.Peer{Name: "b", Domain: "z", Address: "127.0.0.2:1", Incarnation: once.Incarnation{2}})
 			}
 			if s.up {
-				n.members.Up(member.Peer{Name: "gone", Domain: s.domain, Address: "127.0.0.9:1", Incarnation: once.Incarnation{3}})
+				n.members.LinkUp(member.Peer{Name: "gone", Domain: s.domain, Address: "127.0.0.9:1", Incarnation: once.Incarnation{3}})
 			}
 			c.Assert(n.staleRows(time.Minute), qt.HasLen, 0, qt.Commentf("the time starts with the first call"))
 			c.Assert(n.staleRows(time.Minute+s.after), qt.DeepEquals, s.want)
--- a/pkg/node/sizes.go
+++ b/pkg/node/sizes.go
@@ -65,12 +65,12 @@
 	sizes := n.cellSizes()
 	counts := map[string]int{}
 	for domain, count := range executors {
-		inUse := n.claims.CountInUse(domain)
+		inUse := n.claims.ClaimedCellCount(domain)
 		if !n.rowsRead && inUse > 0 {
 			counts[domain] = inUse
 			continue
 		}
-		counts[domain] = ownership.KeepCount(count, sizes.of(domain), inUse)
+		counts[domain] = ownership.StableCellCount(count, sizes.of(domain), inUse)
 	}
 	return counts
 }
--- a/pkg/node/sizes_test.go
+++ b/pkg/node/sizes_test.go
@@ -39,7 +39,7 @@
 				n.setRows(s.rows)
 			}
 			for _, peer := range s.peers {
-				n.members.Up(peer)
+				n.members.LinkUp(peer)
 			}
 			if s.claimed != "" {
 				n.claims.SetClaims(otherAddress, []ownership.Claim{{Cell: s.claimed, Token: 1}})
--- a/pkg/node/view.go
+++ b/pkg/node/view.go
@@ -11,7 +11,7 @@
 	view := ownership.View{Self: ownership.Host{Address: n.settings.PeerAddress, Domain: n.settings.Domain, Leaving: n.leaving.Load(), Weight: n.settings.Weight}}
 	known := map[string]bool{n.settings.PeerAddress: true}
 	now := n.Clock.Now()
-	hubs := n.members.HubTest(now)
+	hubs := n.members.HubSnapshot(now)
 	view.Self.Weight = weightOf(view.Self, hubs)
 	for _, p := range n.members.View(n.inc).Peers {
 		host := ownership.Host{Address: p.Address, Domain: p.Domain, Leaving: p.Leaving, Weight: p.Weight, HasReported: n.claims.HasReported(p.Address)}
@@ -24,7 +24,7 @@
 	}
 	view.Expected = len(known)
 	view.Restarted = n.back
-	view.Listed = n.rowsRead
+	view.RowsRead = n.rowsRead
 	return view
 }
 
@@ -33,7 +33,7 @@
 const sideWeight = 1
 
 // weightOf returns the weight with which a host may own cells.
-func weightOf(host ownership.Host, hubs member.HubTest) int {
+func weightOf(host ownership.Host, hubs member.HubSnapshot) int {
 	if hubs.IsHub(host.Address, host.Domain) {
 		return host.Weight
 	}
--- a/pkg/ownership/cells.go
+++ b/pkg/ownership/cells.go
@@ -56,10 +56,10 @@
 	minCellFill = 0.25 // likewise
 )
 
-// KeepCount returns the number of cells for a domain whose owners have claimed inUse cells,
+// StableCellCount returns the number of cells for a domain whose owners have claimed inUse cells,
 // 0 if none: inUse while the executors fill those cells within the bounds, and CellCount
 // otherwise.
-func KeepCount(executors, cellSize, inUse int) int {
+func StableCellCount(executors, cellSize, inUse int) int {
 	wanted := CellCount(executors, cellSize)
 	room := float64(inUse * cellSize)
 	if inUse > 0 && float64(executors) <= maxCellFill*room && float64(executors) >= minCellFill*room {
@@ -82,9 +82,9 @@
 	return count
 }
 
-// CountInUse returns the number of cells of a domain according to the newest claim on one
+// ClaimedCellCount returns the number of cells of a domain according to the newest claim on one
 // of them, or 0 if there is no claim.
-func (t *Table) CountInUse(domain string) int {
+func (t *Table) ClaimedCellCount(domain string) int {
 	var newest Claim
 	for cell, byOwner := range t.claims {
 		if DomainOf(cell) != domain {
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -52,9 +52,9 @@
 	Up        []Host // other hosts whose links are up
 	Expected  int    // number of hosts that should be running, this one included
 	Restarted bool   // this host had a row in the store before it started, so the other hosts have theirs too
-	// Listed reports whether this host has read the store's rows, and so knows which hosts
+	// RowsRead reports whether this host has read the store's rows, and so knows which hosts
 	// it should reach.
-	Listed bool
+	RowsRead bool
 }
 
 // Limits are the waits before a claim.
@@ -289,7 +289,7 @@
 // domainPeersUnknown reports whether a host can't tell if its domain has other hosts: it
 // has not read the rows, and reaches no other host of the domain.
 func domainPeersUnknown(view View) bool {
-	return !view.Listed && len(hostsOf(view, view.Self.Domain)) == 0
+	return !view.RowsRead && len(hostsOf(view, view.Self.Domain)) == 0
 }
 
 // weakOwnerRatio bounds the processor time of an owner relative to this host's: at or below
--- a/pkg/ownership/ownership_test.go
+++ b/pkg/ownership/ownership_test.go
@@ -229,7 +229,7 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			c.Assert(KeepCount(s.executors, 12, s.inUse), qt.Equals, s.want)
+			c.Assert(StableCellCount(s.executors, 12, s.inUse), qt.Equals, s.want)
 		})
 	}
 }
@@ -237,13 +237,13 @@
 func TestCountInUseFollowsNewestClaim(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(DefaultLimits(), 0)
-	c.Assert(table.CountInUse("z"), qt.Equals, 0)
+	c.Assert(table.ClaimedCellCount("z"), qt.Equals, 0)
 	table.SetClaims("a", []Claim{{Cell: "z/2.1", Token: 7}, {Cell: "y/8.1", Token: 9}})
-	c.Assert(table.CountInUse("z"), qt.Equals, 2)
+	c.Assert(table.ClaimedCellCount("z"), qt.Equals, 2)
 	table.SetClaims("b", []Claim{{Cell: "z", Token: 8}})
-	c.Assert(table.CountInUse("z"), qt.Equals, 1)
+	c.Assert(table.ClaimedCellCount("z"), qt.Equals, 1)
 	table.Forget("b")
-	c.Assert(table.CountInUse("z"), qt.Equals, 2, qt.Commentf("an unreachable owner doesn't count"))
+	c.Assert(table.ClaimedCellCount("z"), qt.Equals, 2, qt.Commentf("an unreachable owner doesn't count"))
 }
 
 // Cells are sized for one host each. The first host to start may own two; an equally strong
@@ -294,7 +294,7 @@
 		{testName: "reaches only a host of another domain", view: View{Self: self, Up: []Host{far}, Expected: 2}, now: time.Second},
 		{testName: "reaches no host for longer than the limit", view: View{Self: self, Expected: 1}, now: 5 * time.Second, want: true},
 		{testName: "reaches a host of its domain", view: View{Self: self, Up: []Host{near}, Expected: 2}, now: time.Second, want: true},
-		{testName: "the rows name no other host", view: View{Self: self, Expected: 1, Listed: true}, now: time.Second, want: true},
+		{testName: "the rows name no other host", view: View{Self: self, Expected: 1, RowsRead: true}, now: time.Second, want: true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/pkg/ownership/tokens.go
+++ b/pkg/ownership/tokens.go
@@ -41,11 +41,11 @@
 	return token
 }
 
-// Fenced records that an executor refused this host's token because it knows a higher one.
+// ClaimRefused records that an executor refused this host's token because it knows a higher one.
 // The holder of that one is unknown. The next token has to exceed it, so tokens jump ahead,
 // at first by little: long jumps would put them ahead of the clock, where a restarted
 // host's new tokens would not exceed them.
-func (t *Table) Fenced(cell string, view View, now time.Duration) {
+func (t *Table) ClaimRefused(cell string, view View, now time.Duration) {
 	state := t.state(cell)
 	state.consecutiveFences++
 	t.highestToken += 1 << (hostBits + min(state.consecutiveFences, maxJumpShift))
--- a/pkg/ownership/tokens_test.go
+++ b/pkg/ownership/tokens_test.go
@@ -15,13 +15,13 @@
 	view := View{Self: host("a", domain), Expected: 1}
 	now := later
 	for _, wait := range []time.Duration{2 * time.Second, 4 * time.Second, 6 * time.Second} {
-		table.Fenced(domain, view, now)
+		table.ClaimRefused(domain, view, now)
 		c.Assert(table.ShouldClaim(domain, domain, view, now+wait-time.Millisecond), qt.IsFalse)
 		c.Assert(table.ShouldClaim(domain, domain, view, now+wait), qt.IsTrue)
 		now += wait
 	}
 	table.ClaimAccepted(domain)
-	table.Fenced(domain, view, now)
+	table.ClaimRefused(domain, view, now)
 	c.Assert(table.ShouldClaim(domain, domain, view, now+2*time.Second), qt.IsTrue, qt.Commentf("an accepted claim resets the backoff"))
 }
 
@@ -50,7 +50,7 @@
 	var last int64
 	for range 20 {
 		last = table.NextToken(day, 1)
-		table.Fenced(domain, view, now)
+		table.ClaimRefused(domain, view, now)
 		wait := table.state(domain).noClaimBefore - now
 		now, day = now+wait, day.Add(wait)
 	}
@@ -71,7 +71,7 @@
 	view := View{Self: host("a", domain), Up: []Host{other}, Expected: 2, Restarted: true}
 	now, day := 100*time.Millisecond, noon
 	for table.NextToken(day, 1) < dead {
-		table.Fenced(domain, view, now)
+		table.ClaimRefused(domain, view, now)
 		wait := table.state(domain).noClaimBefore - now
 		now, day = now+wait, day.Add(wait)
 	}
@@ -86,7 +86,7 @@
 	other := host("b", domain)
 	other.HasReported = true
 	view := View{Self: host("a", domain), Up: []Host{other}, Expected: 2, Restarted: true}
-	table.Fenced(domain, view, time.Hour)
+	table.ClaimRefused(domain, view, time.Hour)
 	c.Assert(table.state(domain).noClaimBefore, qt.Equals, time.Hour+DefaultLimits().Fenced)
 }
 
@@ -97,6 +97,6 @@
 	other.HasReported = true
 	view := View{Self: host("a", domain), Up: []Host{other}, Expected: 2}
 	table.SetClaims("b", claimOf("b", 5))
-	table.Fenced(domain, view, later)
+	table.ClaimRefused(domain, view, later)
 	c.Assert(table.state(domain).noClaimBefore, qt.Equals, later+DefaultLimits().Fenced)
 }
