--- a/pkg/node/arrivals.go
+++ b/pkg/node/arrivals.go
@@ -7,8 +7,8 @@
 
 // Reasons for which an owner removes the jobs of a front.
 const (
-	reasonFrontGone   = "front_gone"   // its link has closed
-	reasonFrontSilent = "front_silent" // it has sent nothing for longer than SuspectAfter
+	reasonFrontDisconnected = "front_gone"   // its link has closed
+	reasonFrontUnresponsive = "front_silent" // it has sent nothing for longer than SuspectAfter
 )
 
 // arrivals records when each peer last sent something on a link that it opened.
@@ -20,7 +20,7 @@
 
 func newArrivals() *arrivals { return &arrivals{at: map[string]time.Duration{}} }
 
-func (a *arrivals) note(address string, now time.Duration) {
+func (a *arrivals) record(address string, now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.at[address] = now
@@ -37,7 +37,7 @@
 func (a *arrivals) beginScan(now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if now-a.lastScanAt > longestGap {
+	if now-a.lastScanAt > maxTickGap {
 		for address := range a.at {
 			a.at[address] = now
 		}
@@ -45,8 +45,8 @@
 	a.lastScanAt = now
 }
 
-// silence returns how long ago a peer last sent something, or 0 if it is unknown.
-func (a *arrivals) silence(address string, now time.Duration) time.Duration {
+// sinceReceived returns how long ago a peer last sent something, or 0 if it is unknown.
+func (a *arrivals) sinceReceived(address string, now time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if at, known := a.at[address]; known {
@@ -58,17 +58,17 @@
 // isUnresponsive reports whether a peer has sent nothing for longer than limit. It is false
 // for a peer whose link has closed, as the closing itself is handled.
 func (a *arrivals) isUnresponsive(address string, limit, now time.Duration) bool {
-	return a.silence(address, now) > limit
+	return a.sinceReceived(address, now) > limit
 }
 
-// dropSilentFronts removes the jobs of unresponsive fronts, so that their capacity is free
+// dropUnresponsiveFronts removes the jobs of unresponsive fronts, so that their capacity is free
 // before the leases of the jobs end.
-func (n *Node) dropSilentFronts(now time.Duration) {
+func (n *Node) dropUnresponsiveFronts(now time.Duration) {
 	n.arrivals.beginScan(now)
 	for _, o := range n.allOwners() {
 		for _, front := range o.fronts() {
 			if n.arrivals.isUnresponsive(front, n.settings.SuspectAfter, now) {
-				o.frontGone(front, reasonFrontSilent)
+				o.withdrawFront(front, reasonFrontUnresponsive)
 			}
 		}
 	}
--- a/pkg/node/arrivals_test.go
+++ b/pkg/node/arrivals_test.go
@@ -30,7 +30,7 @@
 		t.Run(s.testName, func(t *testing.T) {
 			a := newArrivals()
 			a.beginScan(time.Second)
-			a.note("peer", time.Second)
+			a.record("peer", time.Second)
 			for _, at := range s.scans {
 				a.beginScan(at)
 			}
@@ -51,8 +51,8 @@
 		want     int // answers
 	}
 	scenarios := []scenario{
-		{testName: "unresponsive", reason: reasonFrontSilent, want: 1},
-		{testName: "its link has closed", reason: reasonFrontGone},
+		{testName: "unresponsive", reason: reasonFrontUnresponsive, want: 1},
+		{testName: "its link has closed", reason: reasonFrontDisconnected},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -63,7 +63,7 @@
 			var answers []job.Outcome
 			j := &job.Job{ID: "00112233445566ff", Steps: []job.Step{{Count: 1}}, Deadline: n.Clock.Now() + time.Minute}
 			n.owner("z").submit(cell.Handover{Job: j, Epoch: 1}, waiter{front: "front", reply: func(o job.Outcome) { answers = append(answers, o) }})
-			n.owner("z").frontGone("front", s.reason)
+			n.owner("z").withdrawFront("front", s.reason)
 			c.Assert(answers, qt.HasLen, s.want)
 			for _, answer := range answers {
 				c.Assert(answer.Kind, qt.Equals, job.Moved)
--- a/pkg/node/attempt.go
+++ b/pkg/node/attempt.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// noOwnerWait is the longest time that a job waits for an owner.
-	noOwnerWait = 1500 * time.Millisecond
+	// maxOwnerWait is the longest time that a job waits for an owner.
+	maxOwnerWait = 1500 * time.Millisecond
 	// startupGrace is how long after its start a node waits for owners of its own
 	// domain. When all hosts restart, the first owners would otherwise get the jobs of
 	// every domain.
@@ -27,36 +27,36 @@
 
 // attempt is the state of a job that its front passes from one owner to the next.
 type attempt struct {
-	epoch    int
-	progress []job.Progress
-	started  bool
-	lostCell string        // cell of a former owner, where runs of the job may still be alive
-	settleAt time.Duration // runs in lostCell have ended by then
-	wanted   string        // cell to try first, once; empty when none
+	epoch         int
+	progress      []job.Progress
+	started       bool
+	formerCell    string        // cell of a former owner, where runs of the job may still be alive
+	notBefore     time.Duration // runs in lostCell have ended by then
+	preferredCell string        // cell to try first, once; empty when none
 }
 
-// moved records that an owner has returned the job. Its runs go on in the cell, where
+// recordMoved records that an owner has returned the job. Its runs go on in the cell, where
 // the next owner adopts them.
-func (a *attempt) moved(cellName string, outcome job.Outcome, settleAt time.Duration) {
+func (a *attempt) recordMoved(cellName string, outcome job.Outcome, settleAt time.Duration) {
 	if outcome.Reason == reasonNotOwner {
 		return // the job was not accepted there
 	}
 	a.progress = outcome.Progress
 	a.started = a.started || outcome.Started
 	if outcome.Reason == cell.ReasonClosed {
-		a.lostCell = "" // no run of the job is left there
+		a.formerCell = "" // no run of the job is left there
 		return
 	}
 	if outcome.Started {
-		a.lostCell, a.settleAt = cellName, settleAt
+		a.formerCell, a.notBefore = cellName, settleAt
 	}
 }
 
-// lost records that the owner of the job is unreachable.
-func (a *attempt) lost(cellName string, settleAt time.Duration) {
+// recordLost records that the owner of the job is unreachable.
+func (a *attempt) recordLost(cellName string, settleAt time.Duration) {
 	a.started = true
 	a.progress = nil
-	a.lostCell, a.settleAt = cellName, settleAt
+	a.formerCell, a.notBefore = cellName, settleAt
 }
 
 // Reasons in outcomes of fronts and owners.
@@ -80,10 +80,10 @@
 		}
 		switch outcome.Kind {
 		case job.Moved:
-			state.moved(claim.Cell, outcome, f.node.Clock.Now()+f.node.settleTime())
+			state.recordMoved(claim.Cell, outcome, f.node.Clock.Now()+f.node.settleTime())
 			common.Sleep(ctx, redispatchDelay)
 		case job.Lost:
-			state.lost(claim.Cell, f.node.Clock.Now()+f.node.settleTime())
+			state.recordLost(claim.Cell, f.node.Clock.Now()+f.node.settleTime())
 			common.Sleep(ctx, redispatchDelay)
 		default:
 			outcome.Started = outcome.Started || state.started
@@ -119,19 +119,19 @@
 		return abandoned(ctx, state.started)
 	}
 	reason := reasonNoOwner
-	if f.node.noneOpenInSight() {
+	if f.node.noOpenOwnerReachable() {
 		reason = reasonDomainClosed
 	}
 	if state.started {
 		return job.Outcome{Kind: job.Expired, Reason: reason, Started: true}
 	}
-	return job.Outcome{Kind: job.Refused, Reason: reason, RetryAfter: comeBack}
+	return job.Outcome{Kind: job.Refused, Reason: reason, RetryAfter: refusalRetryAfter}
 }
 
-// patience returns until when a job waits for an owner: as long as an owner found then
+// ownerWaitLimit returns until when a job waits for an owner: as long as an owner found then
 // can still complete it while its answer has value.
-func (f *front) patience(j *job.Job, state *attempt) time.Duration {
-	limit := min(j.Deadline, f.node.Clock.Now()+noOwnerWait)
+func (f *front) ownerWaitLimit(j *job.Job, state *attempt) time.Duration {
+	limit := min(j.Deadline, f.node.Clock.Now()+maxOwnerWait)
 	if state.started {
 		return limit // the next owner may find it completed
 	}
@@ -142,14 +142,14 @@
 // awaitOwner returns the claim of the owner to dispatch a job to, and waits for one if
 // there is none. It reports false when none appears in time.
 func (f *front) awaitOwner(ctx context.Context, j *job.Job, state *attempt) (ownership.Claim, bool) {
-	limit := f.patience(j, state)
+	limit := f.ownerWaitLimit(j, state)
 	for {
 		changed := f.node.changed.wait()
-		if claim, ok := f.choose(j, state); ok {
+		if claim, ok := f.chooseOwner(j, state); ok {
 			return claim, true
 		}
 		left := limit - f.node.Clock.Now()
-		if left <= 0 || f.node.noneOpenInSight() {
+		if left <= 0 || f.node.noOpenOwnerReachable() {
 			return ownership.Claim{}, false
 		}
 		timer := time.NewTimer(min(left, ownerRecheckInterval))
@@ -164,17 +164,17 @@
 	}
 }
 
-// choose selects an owner for a job. A job whose former owner is unreachable stays in
+// chooseOwner selects an owner for a job. A job whose former owner is unreachable stays in
 // that cell, where the next owner finds its runs.
-func (f *front) choose(j *job.Job, state *attempt) (ownership.Claim, bool) {
+func (f *front) chooseOwner(j *job.Job, state *attempt) (ownership.Claim, bool) {
 	n := f.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if state.lostCell != "" && n.Clock.Now() < state.settleAt {
-		return n.claims.Owner(state.lostCell)
+	if state.formerCell != "" && n.Clock.Now() < state.notBefore {
+		return n.claims.Owner(state.formerCell)
 	}
-	if wanted := state.wanted; wanted != "" {
-		state.wanted = ""
+	if wanted := state.preferredCell; wanted != "" {
+		state.preferredCell = ""
 		if claim, ok := n.claims.Owner(wanted); ok && !n.closed(claim) {
 			return claim, true
 		}
--- a/pkg/node/calls.go
+++ b/pkg/node/calls.go
@@ -25,7 +25,7 @@
 type calls struct {
 	executors    Executors
 	clock        func() time.Duration
-	trips        *rtt.Estimator // of start and stop requests, which executors answer at once
+	roundTrips   *rtt.Estimator // of start and stop requests, which executors answer at once
 	overdueCalls overdueCalls
 	workers      *workers[call]
 }
@@ -44,7 +44,7 @@
 		shortest += time.Duration(burstBytes / linkRate * float64(time.Second))
 	}
 	shortest = min(shortest, maxRoundTrip)
-	c := &calls{executors: executors, clock: clock, trips: rtt.NewEstimator(shortest, maxRoundTrip)}
+	c := &calls{executors: executors, clock: clock, roundTrips: rtt.NewEstimator(shortest, maxRoundTrip)}
 	c.workers = newWorkers(c.execute)
 	return c
 }
@@ -68,7 +68,7 @@
 func (c *calls) start(o *owner, command *cell.Command) {
 	request := StartRequest{Task: command.Task, Run: command.Run, Spec: command.Spec, Deadline: command.Deadline, Token: command.Token}
 	sentAt := c.clock()
-	pending := c.overdueCalls.begin(c.trips.Timeout(), func() {
+	pending := c.overdueCalls.begin(c.roundTrips.Timeout(), func() {
 		o.do(func(state *cell.Cell, now time.Duration) {
 			state.StartOverdue(command.Executor.Incarnation(), command.Task, command.Run, now)
 		})
@@ -95,7 +95,7 @@
 			state.StopAnswered(command.Executor.Incarnation(), command.Task, command.Run, verdict, clock, now)
 		})
 	}
-	pending := c.overdueCalls.begin(c.trips.Timeout(), func() { answered(cell.Unanswered, 0) })
+	pending := c.overdueCalls.begin(c.roundTrips.Timeout(), func() { answered(cell.Unanswered, 0) })
 	result := c.executors.Stop(&command.Executor, request, pending.timeout)
 	late := pending.finish()
 	c.observe(result.Verdict, c.clock()-sentAt)
@@ -118,7 +118,7 @@
 func (c *calls) hold(o *owner, command *cell.Command) {
 	request := HoldRequest{Deadline: command.Deadline, Token: command.Token, AckedEnd: command.AckedEnd, Wait: command.Wait}
 	sentAt := c.clock()
-	pending := c.overdueCalls.begin(command.Wait+c.trips.Timeout(), func() {
+	pending := c.overdueCalls.begin(command.Wait+c.roundTrips.Timeout(), func() {
 		o.do(func(state *cell.Cell, now time.Duration) {
 			state.HoldOverdue(command.Executor.Incarnation(), sentAt, now)
 		})
@@ -129,7 +129,7 @@
 	if response.Message != "" { // the cell logs an unanswered request itself, once
 		c.logNotAccepted("hold_not_accepted", o, command, CommandResult{Verdict: response.Verdict, Message: response.Message}, sentAt)
 	}
-	o.node.noteAnswer(response)
+	o.node.countUnreadableEntries(response)
 	o.do(func(state *cell.Cell, now time.Duration) {
 		if late {
 			state.LateHoldAnswered(command.Executor.Incarnation(), response, sentAt, now)
@@ -143,6 +143,6 @@
 // lost messages say nothing about the delay of the link.
 func (c *calls) observe(verdict cell.Verdict, trip time.Duration) {
 	if verdict != cell.Unreached && verdict != cell.Unanswered {
-		c.trips.Observe(trip)
+		c.roundTrips.Observe(trip)
 	}
 }
--- a/pkg/node/claims.go
+++ b/pkg/node/claims.go
@@ -12,7 +12,7 @@
 	if listing == nil {
 		return
 	}
-	n.noticeOwnerless(listing)
+	n.updateOwnerless(listing)
 	names := n.cellsToClaim(listing, now)
 	n.foreignDomains.retainOnly(names)
 	for _, name := range names {
@@ -69,7 +69,7 @@
 	n.Log.Info("cell_claimed", "cell", cellName, "token", token, "former", o.formerOwner)
 	o.followClosures()
 	o.setExecutors(n.executors.Load())
-	n.askForList()
+	n.requestList()
 	n.publishClaims()
 }
 
@@ -119,12 +119,12 @@
 	n.mu.Lock()
 	n.claims.SetClaims(n.settings.PeerAddress, claims)
 	n.mu.Unlock()
-	n.tellNews()
+	n.announceChange()
 }
 
-// tellNews sends heartbeats to peers at once and wakes jobs that wait for an owner.
-func (n *Node) tellNews() {
-	n.heartbeats.outdate()
+// announceChange sends heartbeats to peers at once and wakes jobs that wait for an owner.
+func (n *Node) announceChange() {
+	n.heartbeats.invalidate()
 	n.changed.signal()
 	n.links.Nudge()
 }
@@ -137,7 +137,7 @@
 	changed := n.claims.SetClaims(n.settings.PeerAddress, claims)
 	n.mu.Unlock()
 	if changed {
-		n.tellNews()
+		n.announceChange()
 	}
 }
 
--- a/pkg/node/closures.go
+++ b/pkg/node/closures.go
@@ -41,7 +41,7 @@
 		o.followClosures()
 	}
 	n.refreshOwnClaims()
-	n.tellNews()
+	n.announceChange()
 }
 
 // closed reports whether the domain of a claim is closed to new work.
@@ -54,9 +54,9 @@
 	return slices.DeleteFunc(n.claims.Owned(), n.closed)
 }
 
-// noneOpenInSight reports whether a job should not wait for an owner: this node's domain is
+// noOpenOwnerReachable reports whether a job should not wait for an owner: this node's domain is
 // closed, and no owner of an open domain is reachable.
-func (n *Node) noneOpenInSight() bool {
+func (n *Node) noOpenOwnerReachable() bool {
 	if !n.closures.Load().Closed(n.settings.Domain) {
 		return false
 	}
--- a/pkg/node/closures_test.go
+++ b/pkg/node/closures_test.go
@@ -40,15 +40,15 @@
 		{testName: "a domain that doesn't exist", closed: []string{"nowhere"}, want: "z"},
 		{testName: "the own domain", closed: []string{"z"}, want: "y"},
 		{testName: "another domain", closed: []string{"y"}, want: "z"},
-		{testName: "a part that prefers the closed domain", closed: []string{"y"}, state: attempt{wanted: "y"}, want: "z"},
-		{testName: "a job whose runs may continue in the closed domain stays there", closed: []string{"z"}, state: attempt{lostCell: "z", settleAt: 1 << 62}, want: "z"},
+		{testName: "a part that prefers the closed domain", closed: []string{"y"}, state: attempt{preferredCell: "y"}, want: "z"},
+		{testName: "a job whose runs may continue in the closed domain stays there", closed: []string{"z"}, state: attempt{formerCell: "z", notBefore: 1 << 62}, want: "z"},
 		{testName: "both domains", closed: []string{"y", "z"}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			n := nodeWithClosures(c, s.closed...)
-			claim, found := n.front.choose(&job.Job{Service: "s"}, &s.state)
+			claim, found := n.front.chooseOwner(&job.Job{Service: "s"}, &s.state)
 			c.Assert(found, qt.Equals, s.want != "")
 			c.Assert(claim.Cell, qt.Equals, s.want)
 		})
@@ -85,7 +85,7 @@
 	c.Assert(outcome.Kind, qt.Equals, job.Refused)
 	c.Assert(outcome.Reason, qt.Equals, reasonDomainClosed)
 	c.Assert(outcome.RetryAfter > 0, qt.IsTrue)
-	c.Assert(n.Clock.Now()-now < noOwnerWait, qt.IsTrue)
+	c.Assert(n.Clock.Now()-now < maxOwnerWait, qt.IsTrue)
 }
 
 func TestHeartbeatsAnnounceClosedDomains(t *testing.T) {
--- a/pkg/node/complete_test.go
+++ b/pkg/node/complete_test.go
@@ -23,14 +23,14 @@
 		{testName: "read after the claim, the store readable for long", since: since, askedAt: 20 * time.Second, claimed: 19 * time.Second, want: true},
 		{testName: "read before the claim", since: since, askedAt: 18 * time.Second, claimed: 19 * time.Second},
 		{testName: "the store has been readable again only recently", since: since, askedAt: 12 * time.Second, claimed: 11 * time.Second},
-		{testName: "relayed by a peer", since: since, askedAt: unknownAge, claimed: 19 * time.Second},
+		{testName: "relayed by a peer", since: since, askedAt: unknownReadTime, claimed: 19 * time.Second},
 		{testName: "the store is unreadable", since: 0, askedAt: 20 * time.Second, claimed: 19 * time.Second},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			n := newTestNode(c, &fakeStore{})
-			n.readingSince.Store(int64(s.since))
+			n.listReadableSince.Store(int64(s.since))
 			n.roster.ApplyFull(&catalog.Executors{Revision: 1}, s.askedAt)
 			n.publish(true, s.askedAt)
 			c.Assert(n.executors.Load().completeFor(s.claimed), qt.Equals, s.want)
--- a/pkg/node/convert.go
+++ b/pkg/node/convert.go
@@ -73,11 +73,11 @@
 	return byRoute
 }
 
-// toPassed returns the message that relays changes of the executor list. It omits the
+// toRelayedList returns the message that relays changes of the executor list. It omits the
 // executors' clocks, which are stale on arrival.
-func toPassed(relayed *catalog.RelayedList) *peerpb.Snapshot {
+func toRelayedList(relayed *catalog.RelayedList) *peerpb.Snapshot {
 	m := &peerpb.Snapshot{
-		Kind:     newsExecutors,
+		Kind:     snapshotExecutors,
 		Revision: relayed.Changes.Revision,
 		Gone:     relayed.Changes.Removed,
 		Since:    relayed.Since,
@@ -101,7 +101,7 @@
 	return m
 }
 
-func fromPassed(m *peerpb.Snapshot) *catalog.RelayedList {
+func fromRelayedList(m *peerpb.Snapshot) *catalog.RelayedList {
 	relayed := &catalog.RelayedList{
 		Changes:  catalog.ExecutorChanges{Revision: m.Revision, Removed: m.Gone},
 		Since:    m.Since,
--- a/pkg/node/convert_test.go
+++ b/pkg/node/convert_test.go
@@ -16,5 +16,5 @@
 		Capacity: job.Resources{CPU: 16000, MemoryMB: 32768, GPU: 1}, Labels: []string{"kind-a", "rack-1"},
 	}
 	relayed := &catalog.RelayedList{Since: 3, Position: 5, Changes: catalog.ExecutorChanges{Revision: 4, Listed: []catalog.Executor{executor}}}
-	qt.Assert(t, fromPassed(toPassed(relayed)), qt.DeepEquals, relayed)
+	qt.Assert(t, fromRelayedList(toRelayedList(relayed)), qt.DeepEquals, relayed)
 }
--- a/pkg/node/dispatch.go
+++ b/pkg/node/dispatch.go
@@ -15,8 +15,8 @@
 func (f *front) dispatch(ctx context.Context, j *job.Job, claim ownership.Claim, state *attempt) job.Outcome {
 	f.node.Log.Info("job_dispatched", "job", j.ID, "cell", claim.Cell, "owner", claim.Owner, "token", claim.Token, "epoch", state.epoch, "queued_work", claim.Load.QueuedWork)
 	settleAt := time.Duration(0)
-	if state.lostCell != "" && state.lostCell != claim.Cell {
-		settleAt = state.settleAt
+	if state.formerCell != "" && state.formerCell != claim.Cell {
+		settleAt = state.notBefore
 	}
 	if claim.Owner == f.node.settings.PeerAddress {
 		return f.dispatchLocal(ctx, j, claim, state, settleAt)
@@ -31,7 +31,7 @@
 	}
 	done := make(chan job.Outcome, 1)
 	self := f.node.settings.PeerAddress
-	handover := cell.Handover{Job: j, Epoch: state.epoch, Progress: state.progress, NotBefore: settleAt, RenewedAt: f.node.renewals.sureHere()}
+	handover := cell.Handover{Job: j, Epoch: state.epoch, Progress: state.progress, NotBefore: settleAt, RenewedAt: f.node.renewals.confirmedHere()}
 	o.submit(handover, waiter{front: self, reply: func(outcome job.Outcome) { done <- outcome }})
 	select {
 	case outcome := <-done:
@@ -47,11 +47,11 @@
 	if link == nil || !link.Up() {
 		return job.Outcome{Kind: job.Moved, Reason: reasonNotOwner}
 	}
-	defer f.noteDispatch(claim.Owner)()
+	defer f.recordDispatch(claim.Owner)()
 	now := f.node.Clock.Now()
 	settle := max(0, settleAt-now)
 	m := jobwire.ToDispatch(j, claim.Cell, state.epoch, state.progress, settle, now)
-	m.Renewed = f.node.renewals.sure(claim.Owner)
+	m.Renewed = f.node.renewals.confirmed(claim.Owner)
 	answer, err := link.Call(ctx, &peerpb.Message{Body: &peerpb.Message_Dispatch{Dispatch: m}}, 0)
 	if ctx.Err() != nil {
 		link.Send(&peerpb.Message{Body: &peerpb.Message_Withdraw{Withdraw: &peerpb.Withdraw{Id: j.ID, Cell: claim.Cell, Epoch: uint32(state.epoch)}}}, 0)
@@ -60,7 +60,7 @@
 	if err != nil {
 		return job.Outcome{Kind: job.Lost, Reason: err.Error()}
 	}
-	f.node.takeMoment(claim.Owner, answer)
+	f.node.recordTimestamp(claim.Owner, answer)
 	outcome := answer.GetOutcome()
 	if outcome == nil {
 		return job.Outcome{Kind: job.Lost, Reason: "wrong_answer"}
@@ -68,14 +68,14 @@
 	return fromOutcome(outcome)
 }
 
-// noteDispatch counts a job as dispatched to another node until the returned function
+// recordDispatch counts a job as dispatched to another node until the returned function
 // is called.
-func (f *front) noteDispatch(address string) func() {
+func (f *front) recordDispatch(address string) func() {
 	f.mu.Lock()
 	f.dispatched[address]++
 	first := f.dispatched[address] == 1
 	f.mu.Unlock()
-	if first && !f.node.beatsFast(address) {
+	if first && !f.node.hasFrequentHeartbeats(address) {
 		f.node.links.NudgeOne(address) // send frequent heartbeats before the owner considers this host unresponsive
 	}
 	return func() {
--- a/pkg/node/executors.go
+++ b/pkg/node/executors.go
@@ -32,14 +32,14 @@
 	// executor writes its clock every 1.5 s and each write is a change, so that the
 	// changes since an older position outnumber the entries of the full list.
 	maxPositionAge = 1500 * time.Millisecond
-	// lapseTime is how long entries of running executors may be missing from the list
+	// missingEntriesPeriod is how long entries of running executors may be missing from the list
 	// after the store has become reachable again.
-	lapseTime = 3 * time.Second
+	missingEntriesPeriod = 3 * time.Second
 	// largeTransferBytes is the amount of data which, if received from the store while calls
 	// failed, shows that a large response occupied the link and the store was reachable.
 	largeTransferBytes = 32 << 10
-	// unknownAge is the read time of a first list that a peer relayed, which is not known here.
-	unknownAge = -1
+	// unknownReadTime is the read time of a first list that a peer relayed, which is not known here.
+	unknownReadTime = -1
 )
 
 // pollExecutors keeps the list of executors up to date until ctx ends. One node of a
@@ -58,8 +58,8 @@
 			// The result says nothing about the store.
 		case err != nil:
 			n.metrics.StoreFailed("executors")
-			n.storeFails.Store(true)
-			n.readingSince.Store(0)
+			n.listReadFails.Store(true)
+			n.listReadableSince.Store(0)
 			if !storeFailing {
 				receivedBefore = n.meter.Of(traffic.Store).In()
 			}
@@ -67,9 +67,9 @@
 			wait = backoff
 			backoff = min(2*backoff, lastStoreBackoff)
 		default:
-			n.storeFails.Store(false)
+			n.listReadFails.Store(false)
 			if storeFailing && n.meter.Of(traffic.Store).In() < receivedBefore+largeTransferBytes {
-				n.regained.signal()
+				n.storeRecovered.signal()
 			}
 			storeFailing = false
 			backoff = firstStoreBackoff
@@ -78,10 +78,10 @@
 	}
 }
 
-// askForList ends the pause before the next read of the list of executors.
-func (n *Node) askForList() {
+// requestList ends the pause before the next read of the list of executors.
+func (n *Node) requestList() {
 	select {
-	case n.claimed <- struct{}{}:
+	case n.listRequested <- struct{}{}:
 	default: // already requested
 	}
 }
@@ -94,7 +94,7 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-n.claimed:
+	case <-n.listRequested:
 	}
 }
 
@@ -110,7 +110,7 @@
 func (n *Node) nextListTask() listTask {
 	owners := n.allOwners()
 	reads := n.readsForDomain()
-	n.readsList.Store(reads)
+	n.isListReader.Store(reads)
 	switch {
 	case n.awaitsFirstList():
 		return listTask{idle: true, pause: firstListPollInterval}
@@ -135,8 +135,8 @@
 	if current == nil {
 		return false
 	}
-	since := time.Duration(n.readingSince.Load())
-	lapsesOver := since > 0 && n.Clock.Now() >= since+lapseTime
+	since := time.Duration(n.listReadableSince.Load())
+	lapsesOver := since > 0 && n.Clock.Now() >= since+missingEntriesPeriod
 	for _, o := range owners {
 		if current.askedAt < o.claimedAt || lapsesOver && !current.completeFor(o.claimedAt) {
 			return true
@@ -153,7 +153,7 @@
 // listConfirmedAt returns when this node or the reader of its domain is known to have last
 // requested the list from the store.
 func (n *Node) listConfirmedAt() time.Duration {
-	confirmed := time.Duration(n.passedAt.Load())
+	confirmed := time.Duration(n.listConfirmedByPeerAt.Load())
 	if current := n.executors.Load(); current != nil {
 		confirmed = max(confirmed, current.askedAt)
 	}
@@ -189,7 +189,7 @@
 
 // recordReadable records since when the store has been readable, unless that is known.
 func (n *Node) recordReadable(askedAt time.Duration) {
-	n.readingSince.CompareAndSwap(0, int64(askedAt))
+	n.listReadableSince.CompareAndSwap(0, int64(askedAt))
 }
 
 // removeVanished republishes the list if executors are missing from it, so that those
@@ -317,8 +317,8 @@
 	} else {
 		next = current.withAskedAt(askedAt)
 	}
-	since := time.Duration(n.readingSince.Load())
-	next.steady = since > 0 && askedAt >= since+lapseTime
+	since := time.Duration(n.listReadableSince.Load())
+	next.steady = since > 0 && askedAt >= since+missingEntriesPeriod
 	n.executors.Store(next)
 	for _, o := range n.allOwners() {
 		o.setExecutors(next)
--- a/pkg/node/fetches_test.go
+++ b/pkg/node/fetches_test.go
@@ -12,12 +12,12 @@
 	f := newFetches()
 	started := 0
 	for range 100 {
-		if f.begin(newsExecutors) {
+		if f.begin(snapshotExecutors) {
 			started++
 		}
 	}
 	c.Assert(started, qt.Equals, maxFetches)
-	c.Assert(f.begin(newsConfiguration), qt.IsTrue, qt.Commentf("other kinds are counted separately"))
-	f.end(newsExecutors)
-	c.Assert(f.begin(newsExecutors), qt.IsTrue, qt.Commentf("a fetch has ended"))
+	c.Assert(f.begin(snapshotConfiguration), qt.IsTrue, qt.Commentf("other kinds are counted separately"))
+	f.end(snapshotExecutors)
+	c.Assert(f.begin(snapshotExecutors), qt.IsTrue, qt.Commentf("a fetch has ended"))
 }
--- a/pkg/node/follow.go
+++ b/pkg/node/follow.go
@@ -76,7 +76,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	known := f.position > 0
-	go f.cancelIdleCall(ctx, f.node.regained.wait(), known, cancel)
+	go f.cancelIdleCall(ctx, f.node.storeRecovered.wait(), known, cancel)
 	if known {
 		return f.table.await(ctx, f.position)
 	}
--- a/pkg/node/front.go
+++ b/pkg/node/front.go
@@ -10,8 +10,8 @@
 	"github.com/foxcroft/foxcroft/pkg/job"
 )
 
-// comeBack is the retry delay suggested to callers whose jobs were refused.
-const comeBack = time.Second
+// refusalRetryAfter is the retry delay suggested to callers whose jobs were refused.
+const refusalRetryAfter = time.Second
 
 // front holds callers' requests open and dispatches each job to the owner of a cell.
 type front struct {
@@ -47,7 +47,7 @@
 		reason = cause.Error()
 	}
 	if reason == errStopping.Error() && !started {
-		return job.Outcome{Kind: job.Refused, Reason: reason, RetryAfter: comeBack}
+		return job.Outcome{Kind: job.Refused, Reason: reason, RetryAfter: refusalRetryAfter}
 	}
 	return job.Outcome{Kind: job.Expired, Reason: reason, Started: started}
 }
@@ -56,7 +56,7 @@
 func (f *front) submit(ctx context.Context, j *job.Job) job.Outcome {
 	var outcome job.Outcome
 	if f.stopsBeforeEnd(j) {
-		outcome = f.turnAway(ctx, j)
+		outcome = f.refuseStopping(ctx, j)
 	} else {
 		outcome = f.keepOpen(ctx, j)
 	}
@@ -87,7 +87,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { f.leave(open) })
 	defer stop()
-	outcome := ofAllSendings(f.joinOrFollow(open, former))
+	outcome := acrossSubmissions(f.joinOrFollow(open, former))
 	f.end(open, outcome)
 	return outcome
 }
@@ -96,12 +96,12 @@
 // open. Without one it follows the job from owner to owner until it ends.
 func (f *front) joinOrFollow(open, former *openJob) job.Outcome {
 	j, ctx := open.job, open.ctx
-	f.node.openNews.opened(j)
+	f.node.openJobTable.add(j)
 	outcome, state, ended := f.firstAttempt(open, former)
 	if ended {
 		return outcome
 	}
-	f.markCarried(open)
+	f.markFollowed(open)
 	shares := f.split(j)
 	if len(shares) == 0 {
 		return f.follow(ctx, j, state)
@@ -119,9 +119,9 @@
 	return f.joinElsewhere(open.ctx, open)
 }
 
-// giveUpOpen abandons all open jobs, so that their callers get an answer before this
+// abandonOpenJobs abandons all open jobs, so that their callers get an answer before this
 // node stops.
-func (f *front) giveUpOpen() {
+func (f *front) abandonOpenJobs() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, open := range f.open {
--- a/pkg/node/front_test.go
+++ b/pkg/node/front_test.go
@@ -25,32 +25,32 @@
 	scenarios := []scenario{
 		{
 			testName:     "returned while it runs: the next owner of its cell adopts it",
-			apply:        func(a *attempt) { a.moved("cell", job.Outcome{Started: true, Progress: progress}, settle) },
+			apply:        func(a *attempt) { a.recordMoved("cell", job.Outcome{Started: true, Progress: progress}, settle) },
 			wantCell:     "cell",
 			wantStarted:  true,
 			wantProgress: progress,
 		},
 		{
 			testName: "returned before it started: any cell may run it",
-			apply:    func(a *attempt) { a.moved("cell", job.Outcome{}, settle) },
+			apply:    func(a *attempt) { a.recordMoved("cell", job.Outcome{}, settle) },
 		},
 		{
 			testName:     "returned untouched by a host that isn't the owner: the state stays",
-			apply:        func(a *attempt) { a.moved("other", job.Outcome{Reason: reasonNotOwner}, 2*settle) },
+			apply:        func(a *attempt) { a.recordMoved("other", job.Outcome{Reason: reasonNotOwner}, 2*settle) },
 			wantCell:     "before",
 			wantProgress: progress,
 		},
 		{
 			testName: "returned by a closed cell: no runs of it are alive there",
 			apply: func(a *attempt) {
-				a.moved("cell", job.Outcome{Reason: cell.ReasonClosed, Started: true, Progress: progress}, settle)
+				a.recordMoved("cell", job.Outcome{Reason: cell.ReasonClosed, Started: true, Progress: progress}, settle)
 			},
 			wantStarted:  true,
 			wantProgress: progress,
 		},
 		{
 			testName:    "lost with its owner: it may run there, and its known progress is outdated",
-			apply:       func(a *attempt) { a.lost("cell", settle) },
+			apply:       func(a *attempt) { a.recordLost("cell", settle) },
 			wantCell:    "cell",
 			wantStarted: true,
 		},
@@ -60,10 +60,10 @@
 			c := qt.New(t)
 			a := &attempt{epoch: 1}
 			if s.wantCell == "before" {
-				a.lostCell, a.progress = "before", progress
+				a.formerCell, a.progress = "before", progress
 			}
 			s.apply(a)
-			c.Assert(a.lostCell, qt.Equals, s.wantCell)
+			c.Assert(a.formerCell, qt.Equals, s.wantCell)
 			c.Assert(a.started, qt.Equals, s.wantStarted)
 			c.Assert(a.progress, qt.DeepEquals, s.wantProgress)
 		})
@@ -92,7 +92,7 @@
 			n.ownerless = s.ownerless
 			load := ownership.Load{CapacityCPU: 1000, FreeCPU: 1000, Ready: true, Services: []string{"s"}}
 			n.claims.SetClaims("far:1", []ownership.Claim{{Cell: "far", Token: 1, Load: load}})
-			_, found := n.front.choose(&job.Job{Service: "s"}, &attempt{})
+			_, found := n.front.chooseOwner(&job.Job{Service: "s"}, &attempt{})
 			c.Assert(found, qt.Equals, s.want)
 		})
 	}
@@ -118,7 +118,7 @@
 	scenarios := []scenario{
 		{testName: "until its outcome would have no value", deadline: dead, target: target, want: latestA},
 		{testName: "until its deadline can't be met", deadline: 200 * time.Millisecond, target: target, want: 100 * time.Millisecond},
-		{testName: "no longer than noOwnerWait", deadline: dead, target: dead, want: noOwnerWait},
+		{testName: "no longer than noOwnerWait", deadline: dead, target: dead, want: maxOwnerWait},
 		{testName: "started: its deadline counts", deadline: time.Second, target: target, state: attempt{started: true}, want: time.Second},
 	}
 	for _, s := range scenarios {
@@ -127,7 +127,7 @@
 			n := newTestNode(c, &fakeStore{})
 			n.Clock = &common.ManualClock{}
 			j := &job.Job{Deadline: s.deadline, Stretch: 1, Target: s.target, Steps: []job.Step{{Count: 1, Estimate: task}}}
-			c.Assert(n.front.patience(j, &s.state), qt.Equals, s.want)
+			c.Assert(n.front.ownerWaitLimit(j, &s.state), qt.Equals, s.want)
 		})
 	}
 }
--- a/pkg/node/heartbeat.go
+++ b/pkg/node/heartbeat.go
@@ -57,8 +57,8 @@
 	return owners
 }
 
-// outdate invalidates the cached heartbeat.
-func (h *heartbeats) outdate() {
+// invalidate invalidates the cached heartbeat.
+func (h *heartbeats) invalidate() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.newest = nil
@@ -99,7 +99,7 @@
 // buildHeartbeat builds a heartbeat, if requested with the addresses of the domain's nodes and
 // the owners of all cells. n.heartbeats.mu is held.
 func (n *Node) buildHeartbeat(gossip, owners bool, now time.Duration) *peerpb.Heartbeat {
-	heartbeat := &peerpb.Heartbeat{Leaving: n.leaving.Load(), StoreFails: n.storeIsOut()}
+	heartbeat := &peerpb.Heartbeat{Leaving: n.leaving.Load(), StoreFails: n.storeIsUnreachable()}
 	if current := n.configuration.Load(); current != nil {
 		heartbeat.Version = current.snapshot.Revision
 	}
--- a/pkg/node/heartbeat_handling.go
+++ b/pkg/node/heartbeat_handling.go
@@ -7,7 +7,7 @@
 
 // HeartbeatReply implements peer.Observer.
 func (n *Node) HeartbeatReply(address string, reply *peerpb.Message) {
-	n.takeMoment(address, reply)
+	n.recordTimestamp(address, reply)
 	n.handleHeartbeat(address, reply.GetHeartbeat())
 }
 
@@ -18,7 +18,7 @@
 		return // claims of an unreachable peer can't be used
 	}
 	if changes.claims {
-		n.heartbeats.outdate()
+		n.heartbeats.invalidate()
 		n.changed.signal()
 		n.links.NudgeOne(address) // heartbeats to owners are more frequent
 	}
@@ -54,18 +54,18 @@
 	}
 	changes.claims = n.claims.SetClaims(address, fromCellLoads(heartbeat.Cells))
 	n.peerCounts[address] = fromRouteCounts(heartbeat.RouteCounts)
-	n.storeless[address] = heartbeat.StoreFails
+	n.storeUnreachable[address] = heartbeat.StoreFails
 	now := n.Clock.Now()
 	newOwner := n.members.AddAddresses(n.ownersToFollow(heartbeat.Owners), now)
-	newNeighbour := n.members.AddAddresses(without(heartbeat.Neighbours, n.settings.PeerAddress), now)
+	newNeighbour := n.members.AddAddresses(excludeAddress(heartbeat.Neighbours, n.settings.PeerAddress), now)
 	changes.addresses = newOwner || newNeighbour
-	n.readers[address] = heartbeat.ReadsList
+	n.listReaders[address] = heartbeat.ReadsList
 	if p.Domain != n.settings.Domain {
 		return changes, true
 	}
 	changes.addresses = n.members.AddDomainAddresses(heartbeat.Addresses, now) || changes.addresses
 	if heartbeat.ReadsList {
-		n.passedAt.Store(int64(now))
+		n.listConfirmedByPeerAt.Store(int64(now))
 	}
 	return changes, true
 }
--- a/pkg/node/join.go
+++ b/pkg/node/join.go
@@ -31,15 +31,15 @@
 		n.metrics.JobJoined("here")
 		return own, attempt{}, true
 	}
-	if own.RetryAfter == 0 && len(n.openNews.find(j.ID, n.Clock.Now())) == 0 {
-		return job.Outcome{}, attempt{epoch: 1, started: n.openNews.mayHaveRun(j.ID)}, false
+	if own.RetryAfter == 0 && len(n.openJobTable.find(j.ID, n.Clock.Now())) == 0 {
+		return job.Outcome{}, attempt{epoch: 1, started: n.openJobTable.mayHaveRun(j.ID)}, false
 	}
 	f.markStarted(open)
 	ctx, cancel := f.untilDeadline(ctx, j)
 	defer cancel()
-	s := n.openNews.newSearch(open, n.Clock.Now()+own.RetryAfter)
+	s := n.openJobTable.newSearch(open, n.Clock.Now()+own.RetryAfter)
 	if outcome, found := f.search(ctx, j.ID, s, false); found {
-		outcome.Started = outcome.Started || n.openNews.mayHaveRun(j.ID)
+		outcome.Started = outcome.Started || n.openJobTable.mayHaveRun(j.ID)
 		return outcome, attempt{}, true
 	}
 	return job.Outcome{}, attempt{epoch: 2, started: true}, false
@@ -51,10 +51,10 @@
 // other fronts.
 func (f *front) rejoin(ctx context.Context, j *job.Job) (job.Outcome, bool) {
 	n := f.node
-	if resyncedAt := n.openNews.resyncedAt(); n.Clock.Now() < resyncedAt && n.Clock.Now() >= j.Received+openjobs.AnnounceAfter(n.settings.ResubmitAfter) {
+	if resyncedAt := n.openJobTable.resyncedAt(); n.Clock.Now() < resyncedAt && n.Clock.Now() >= j.Received+openjobs.AnnounceAfter(n.settings.ResubmitAfter) {
 		f.sleepUntil(ctx, resyncedAt)
 	}
-	if len(n.openNews.find(j.WholeID(), n.Clock.Now())) == 0 {
+	if len(n.openJobTable.find(j.WholeID(), n.Clock.Now())) == 0 {
 		return job.Outcome{}, false
 	}
 	return f.search(ctx, j.WholeID(), openjobs.NewSearch(j.WholeID(), 0), true)
@@ -70,7 +70,7 @@
 		if outcome, found := f.askAll(ctx, id, search, follows); found {
 			return outcome, true
 		}
-		at, mayStart := n.openNews.next(search, n.Clock.Now())
+		at, mayStart := n.openJobTable.next(search, n.Clock.Now())
 		if mayStart {
 			n.Log.Info("job_not_joined", "job", id, "waited_ms", (n.Clock.Now() - began).Milliseconds())
 			n.metrics.JobJoined("not")
@@ -86,9 +86,9 @@
 // returns the job's outcome if one of them does.
 func (f *front) askAll(ctx context.Context, id string, search *openjobs.Search, follows bool) (job.Outcome, bool) {
 	n := f.node
-	n.openNews.mu.Lock()
-	entries := search.Round(n.openNews.others, n.Clock.Now())
-	n.openNews.mu.Unlock()
+	n.openJobTable.mu.Lock()
+	entries := search.Round(n.openJobTable.others, n.Clock.Now())
+	n.openJobTable.mu.Unlock()
 	for _, entry := range entries {
 		outcome, replies, found := f.ask(ctx, id, &entry, follows)
 		if found {
@@ -99,9 +99,9 @@
 		}
 		link := n.links.Link(entry.Front.Address)
 		vantage := n.vantageOf(entry.Front)
-		n.openNews.mu.Lock()
-		search.HandleReplies(n.openNews.others, entry, replies, vantage, link != nil && link.Up(), n.Clock.Now())
-		n.openNews.mu.Unlock()
+		n.openJobTable.mu.Lock()
+		search.HandleReplies(n.openJobTable.others, entry, replies, vantage, link != nil && link.Up(), n.Clock.Now())
+		n.openJobTable.mu.Unlock()
 	}
 	return job.Outcome{}, false
 }
@@ -161,7 +161,7 @@
 
 // confirmAlive records that a front is alive after an answer that another host relayed.
 // The answer is the front's own, unless that host reports the front as unreachable.
-func (o *openNews) confirmAlive(address string, outcome *peerpb.Outcome, now time.Duration) {
+func (o *openJobTable) confirmAlive(address string, outcome *peerpb.Outcome, now time.Duration) {
 	if outcome == nil || outcome.Reason == reasonFrontUnreachable {
 		return
 	}
@@ -182,10 +182,10 @@
 // withdraws it when ctx ends. Meanwhile the link sends heartbeats at the fast rate, so that
 // the death of the host is detected soon.
 func (f *front) askVia(ctx context.Context, link *peer.Link, via string, request *peerpb.Join) (job.Outcome, bool) {
-	defer f.noteDispatch(via)()
+	defer f.recordDispatch(via)()
 	answer, err := link.Call(ctx, &peerpb.Message{Body: &peerpb.Message_Join{Join: request}}, 0)
 	if err == nil && via != request.Front {
-		f.node.openNews.confirmAlive(request.Front, answer.GetOutcome(), f.node.Clock.Now())
+		f.node.openJobTable.confirmAlive(request.Front, answer.GetOutcome(), f.node.Clock.Now())
 	}
 	if ctx.Err() != nil {
 		leave := proto.Clone(request).(*peerpb.Join)
--- a/pkg/node/join_test.go
+++ b/pkg/node/join_test.go
@@ -74,21 +74,21 @@
 	return a, b
 }
 
-func sending(n *Node) *job.Job {
+func submission(n *Node) *job.Job {
 	now := n.Clock.Now()
 	return &job.Job{ID: joinID, Service: "s", Steps: []job.Step{{Count: 1}}, Received: now, Deadline: now + joinDeadline}
 }
 
-// hold opens a job at a node and announces it.
-func hold(n *Node) *openJob {
-	open, _ := n.front.enter(sending(n))
-	n.openNews.opened(open.job)
-	n.front.markCarried(open)
-	n.tellOpenJobs(n.Clock.Now())
+// openAndAnnounce opens a job at a node and announces it.
+func openAndAnnounce(n *Node) *openJob {
+	open, _ := n.front.enter(submission(n))
+	n.openJobTable.add(open.job)
+	n.front.markFollowed(open)
+	n.announceOpenJobs(n.Clock.Now())
 	return open
 }
 
-func knows(n *Node) bool { return len(n.openNews.find(joinID, n.Clock.Now())) > 0 }
+func knowsOpenJob(n *Node) bool { return len(n.openJobTable.find(joinID, n.Clock.Now())) > 0 }
 
 func waiters(n *Node, open *openJob) int {
 	n.front.mu.Lock()
@@ -99,7 +99,7 @@
 // submitLater submits the job to a node in the background and returns a channel for its outcome.
 func submitLater(ctx context.Context, n *Node) chan job.Outcome {
 	answer := make(chan job.Outcome, 1)
-	go func() { answer <- n.Submit(ctx, sending(n)) }()
+	go func() { answer <- n.Submit(ctx, submission(n)) }()
 	return answer
 }
 
@@ -127,8 +127,8 @@
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			holder, resubmittedTo := s.nodes(t)
-			open := hold(holder)
-			eventually(c, func() bool { return holder == resubmittedTo || knows(resubmittedTo) })
+			open := openAndAnnounce(holder)
+			eventually(c, func() bool { return holder == resubmittedTo || knowsOpenJob(resubmittedTo) })
 			answer := submitLater(context.Background(), resubmittedTo)
 			eventually(c, func() bool { return waiters(holder, open) == 2 })
 			holder.front.end(open, completed)
@@ -147,11 +147,11 @@
 	a.claims.SetClaims("far:1", []ownership.Claim{{Cell: "y", Token: 1, Load: load}})
 	a.claims.SetClaims("near:1", []ownership.Claim{{Cell: "z", Token: 1, Load: load}})
 	a.mu.Unlock()
-	splitJob := sending(a)
+	splitJob := submission(a)
 	splitJob.Steps = []job.Step{{Count: 8, Needs: job.Resources{CPU: 100}}}
 	first := make(chan job.Outcome, 1)
 	go func() { first <- a.Submit(context.Background(), splitJob) }()
-	eventually(c, func() bool { a.tellOpenJobs(a.Clock.Now()); return knows(b) })
+	eventually(c, func() bool { a.announceOpenJobs(a.Clock.Now()); return knowsOpenJob(b) })
 	open, isFollowed := a.front.joinable(joinID)
 	c.Assert(isFollowed, qt.IsTrue)
 	c.Assert(open.isSplit, qt.IsTrue)
@@ -177,8 +177,8 @@
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			a, b := pairOf(t)
-			open := hold(a)
-			eventually(c, func() bool { return knows(b) })
+			open := openAndAnnounce(a)
+			eventually(c, func() bool { return knowsOpenJob(b) })
 			ctx, leave := context.WithCancel(context.Background())
 			defer leave()
 			submitLater(ctx, b)
@@ -196,7 +196,7 @@
 // ended replies with its outcome, or with the time after which no run of it is alive.
 func TestAResubmittedJobThatIsNoLongerOpen(t *testing.T) {
 	lost := job.Outcome{Kind: job.Expired, Reason: "caller_left", Started: true}
-	refused := job.Outcome{Kind: job.Refused, Reason: reasonNoOwner, RetryAfter: comeBack}
+	refused := job.Outcome{Kind: job.Refused, Reason: reasonNoOwner, RetryAfter: refusalRetryAfter}
 	type scenario struct {
 		testName string
 		end      job.Outcome
@@ -213,11 +213,11 @@
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			a, b := pairOf(t)
-			open := hold(a)
-			eventually(c, func() bool { return knows(b) })
+			open := openAndAnnounce(a)
+			eventually(c, func() bool { return knowsOpenJob(b) })
 			a.front.end(open, s.end)
 			ended := time.Now()
-			b.openNews.resumedAt = -time.Hour
+			b.openJobTable.resumedAt = -time.Hour
 			followed := awaitFollowed(b)
 			answer := submitLater(context.Background(), b)
 			if s.want == job.Expired {
@@ -268,8 +268,8 @@
 			c := qt.New(t)
 			a, b, third := peerNode(t, "a", s.domain, 1), peerNode(t, "b", "z", 2), peerNode(t, "third", "z", 3)
 			linkAll(t, a, b, third)
-			open := hold(a)
-			eventually(c, func() bool { return knows(b) })
+			open := openAndAnnounce(a)
+			eventually(c, func() bool { return knowsOpenJob(b) })
 			followed := awaitFollowed(b)
 			answer := submitLater(context.Background(), b)
 			eventually(c, func() bool { return waiters(a, open) == 2 })
@@ -292,12 +292,12 @@
 func TestWaitersContinueAJobThatAStoppingFrontAbandons(t *testing.T) {
 	c := qt.New(t)
 	a, b := pairOf(t)
-	open := hold(a)
-	eventually(c, func() bool { return knows(b) })
+	open := openAndAnnounce(a)
+	eventually(c, func() bool { return knowsOpenJob(b) })
 	followed := awaitFollowed(b)
 	answer := submitLater(context.Background(), b)
 	eventually(c, func() bool { return waiters(a, open) == 2 })
-	a.front.giveUpOpen()
+	a.front.abandonOpenJobs()
 	a.front.end(open, abandoned(open.ctx, true))
 	<-followed
 	b.Cancel(joinID)
@@ -308,11 +308,11 @@
 func TestANewHostReceivesAnnouncementsOfOpenJobs(t *testing.T) {
 	c := qt.New(t)
 	a, b := pairOf(t)
-	hold(a)
-	eventually(c, func() bool { return knows(b) })
+	openAndAnnounce(a)
+	eventually(c, func() bool { return knowsOpenJob(b) })
 	newcomer := peerNode(t, "late", "z", 3)
 	linkAll(t, a, newcomer)
-	eventually(c, func() bool { return knows(newcomer) })
+	eventually(c, func() bool { return knowsOpenJob(newcomer) })
 }
 
 // A caller that leaves and resubmits the job to the same front, which was paused meanwhile: the
@@ -364,14 +364,14 @@
 func TestAttemptAfterAnAbandonedSubmission(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
-	former := newOpenJob(sending(n))
+	former := newOpenJob(submission(n))
 	c.Assert(n.front.attemptAfter(context.Background(), former), qt.CmpEquals(cmp.AllowUnexported(attempt{})), attempt{epoch: 1}, qt.Commentf("it was never dispatched"))
 	former.started, former.cell, former.epoch = true, "y", 2
 	state := n.front.attemptAfter(context.Background(), former)
 	c.Assert(state.epoch, qt.Equals, 3)
 	c.Assert(state.started, qt.IsTrue)
-	c.Assert(state.lostCell, qt.Equals, "y")
-	c.Assert(state.settleAt >= n.settleTime(), qt.IsTrue)
+	c.Assert(state.formerCell, qt.Equals, "y")
+	c.Assert(state.notBefore >= n.settleTime(), qt.IsTrue)
 }
 
 // Replies to join requests for jobs that aren't followed here.
@@ -389,9 +389,9 @@
 	c.Assert(former.Reason, qt.Equals, reasonNotOpen)
 	c.Assert(microseconds(former.RetryAfterUs), qt.Equals, n.settleTime()-500*time.Millisecond, qt.Commentf("that process had ended when this one started"))
 	c.Assert(ask("far:1", nil).GetFailure(), qt.IsNotNil, qt.Commentf("the front is unknown"))
-	searching, _ := n.front.enter(sending(n))
+	searching, _ := n.front.enter(submission(n))
 	c.Assert(ask(n.settings.PeerAddress, n.inc[:]).GetOutcome().Reason, qt.Equals, reasonBusy)
-	n.front.markCarried(searching)
+	n.front.markFollowed(searching)
 	searching.cancel(errLeft)
 	c.Assert(ask(n.settings.PeerAddress, n.inc[:]).GetOutcome().Reason, qt.Equals, reasonNotOpen, qt.Commentf("it is abandoned and about to end"))
 }
@@ -401,11 +401,11 @@
 func TestAResumedFrontJoinsTheResubmittedJob(t *testing.T) {
 	c := qt.New(t)
 	a, b := pairOf(t)
-	open := hold(b)
-	eventually(c, func() bool { return knows(a) })
-	a.openNews.back(a.Clock.Now())
+	open := openAndAnnounce(b)
+	eventually(c, func() bool { return knowsOpenJob(a) })
+	a.openJobTable.markResumed(a.Clock.Now())
 	began := time.Now()
-	j := sending(a)
+	j := submission(a)
 	answer := make(chan job.Outcome, 1)
 	go func() {
 		outcome, ended := a.front.rejoin(context.Background(), j)
--- a/pkg/node/joins.go
+++ b/pkg/node/joins.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// gone cancels all requests that came over a host's link, which has closed.
-func (s *joins) gone(from string) {
+// linkClosed cancels all requests that came over a host's link, which has closed.
+func (s *joins) linkClosed(from string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, entry := range s.waiting {
@@ -128,10 +128,10 @@
 // itself, because it was resubmitted to both fronts.
 func (n *Node) answerWhileSearching(m *peerpb.Join) job.Outcome {
 	asker := openjobs.Front{Address: m.Asker, Process: string(m.AskerProcess)}
-	n.openNews.mu.Lock()
-	search := n.openNews.searches[m.Id]
-	shouldYield := search != nil && search.ShouldYield(n.openNews.others, asker, n.settings.PeerAddress, m.Follows, n.Clock.Now())
-	n.openNews.mu.Unlock()
+	n.openJobTable.mu.Lock()
+	search := n.openJobTable.searches[m.Id]
+	shouldYield := search != nil && search.ShouldYield(n.openJobTable.others, asker, n.settings.PeerAddress, m.Follows, n.Clock.Now())
+	n.openJobTable.mu.Unlock()
 	if !shouldYield {
 		return job.Outcome{Kind: job.Moved, Reason: reasonBusy}
 	}
@@ -151,7 +151,7 @@
 // endOf answers for a job that isn't open here: by its outcome if that is final, and
 // otherwise by the time after which none of its runs is alive.
 func (n *Node) endOf(id string) job.Outcome {
-	e, known := n.openNews.announcedEnd(id)
+	e, known := n.openJobTable.announcedEnd(id)
 	switch {
 	case !known:
 		return notOpen(0)
@@ -176,11 +176,11 @@
 		return toOutcome(job.Outcome{Kind: job.Moved, Reason: reasonBusy})
 	}
 	now := n.Clock.Now()
-	for _, entry := range n.openNews.find(m.Id, now) {
+	for _, entry := range n.openJobTable.find(m.Id, now) {
 		if entry.Front.Address == m.Front && entry.Front.Process == front.Process && n.vantageOf(entry.Front).SameDomain {
-			n.openNews.mu.Lock()
-			runsEndBy := n.openNews.others.RunsEndBy(entry, now)
-			n.openNews.mu.Unlock()
+			n.openJobTable.mu.Lock()
+			runsEndBy := n.openJobTable.others.RunsEndBy(entry, now)
+			n.openJobTable.mu.Unlock()
 			return toOutcome(job.Outcome{Kind: job.Moved, Reason: reasonFrontUnreachable, RetryAfter: max(0, runsEndBy-now)})
 		}
 	}
--- a/pkg/node/kept.go
+++ b/pkg/node/kept.go
@@ -14,7 +14,7 @@
 const reasonKeptNotServed = "kept_jobs_not_served"
 
 // keptNotServed is the answer of a node that does not serve kept jobs.
-var keptNotServed = kept.Answer{Verdict: kept.Refused, Reason: reasonKeptNotServed, RetryAfter: comeBack}
+var keptNotServed = kept.Answer{Verdict: kept.Refused, Reason: reasonKeptNotServed, RetryAfter: refusalRetryAfter}
 
 // Keep implements Service.
 func (n *Node) Keep(ctx context.Context, j *job.Job) kept.Answer {
--- a/pkg/node/kept_host.go
+++ b/pkg/node/kept_host.go
@@ -71,9 +71,9 @@
 func (n *Node) withStore(hosts []ownership.Host) []ownership.Host {
 	var reachable []ownership.Host
 	for _, host := range hosts {
-		unreachable := n.storeless[host.Address]
+		unreachable := n.storeUnreachable[host.Address]
 		if host.Address == n.settings.PeerAddress {
-			unreachable = n.storeIsOut()
+			unreachable = n.storeIsUnreachable()
 		}
 		if !unreachable {
 			reachable = append(reachable, host)
@@ -85,9 +85,9 @@
 	return reachable
 }
 
-// storeIsOut reports whether the store is unreachable from this host.
-func (n *Node) storeIsOut() bool {
-	return n.storeFails.Load() || n.operatorFails.Load() || n.keeping.StoreIsDown()
+// storeIsUnreachable reports whether the store is unreachable from this host.
+func (n *Node) storeIsUnreachable() bool {
+	return n.listReadFails.Load() || n.operatorReadFails.Load() || n.keeping.StoreIsDown()
 }
 
 // AskCoordinator implements keeping.Host.
@@ -111,14 +111,14 @@
 	}
 	answer, err := link.Call(ctx, m, 0)
 	if err != nil || answer.GetKeptReply() == nil {
-		return kept.Answer{Verdict: kept.Unknown, Reason: keeping.ReasonCoordinatorUnresponsive, RetryAfter: comeBack}, true
+		return kept.Answer{Verdict: kept.Unknown, Reason: keeping.ReasonCoordinatorUnresponsive, RetryAfter: refusalRetryAfter}, true
 	}
 	return fromKeptReply(answer.GetKeptReply()), true
 }
 
 // ChooseCell implements keeping.Host.
 func (h *keptHost) ChooseCell(j *job.Job) (string, bool) {
-	claim, ok := h.node.front.choose(j, &attempt{})
+	claim, ok := h.node.front.chooseOwner(j, &attempt{})
 	return claim.Cell, ok
 }
 
@@ -154,7 +154,7 @@
 // CellRemoved implements keeping.Host.
 func (h *keptHost) CellRemoved(cell string) bool {
 	listing := h.node.executors.Load()
-	if listing == nil || h.node.storeFails.Load() {
+	if listing == nil || h.node.listReadFails.Load() {
 		return false
 	}
 	if _, listed := listing.cells[cell]; listed {
--- a/pkg/node/kept_messages.go
+++ b/pkg/node/kept_messages.go
@@ -24,9 +24,9 @@
 	go func() { reply(toKeptReply(n.keeping.HandleState(m.Id, m.Cancel, int(m.Hops))), 0) }()
 }
 
-// onNoted handles a coordinator's notice about kept jobs of a cell. It replies with a
+// onEndsPersisted handles a coordinator's notice about kept jobs of a cell. It replies with a
 // failure when this host does not own the cell.
-func (n *Node) onNoted(m *peerpb.Noted, reply peer.Reply) {
+func (n *Node) onEndsPersisted(m *peerpb.Noted, reply peer.Reply) {
 	o := n.owner(m.Cell)
 	if o == nil {
 		reply(peer.FailureMessage(errkind.New(errkind.NotFound, "notify the cell's owner", "this host does not own cell %s", m.Cell)), 0)
--- a/pkg/node/kept_test.go
+++ b/pkg/node/kept_test.go
@@ -53,6 +53,6 @@
 
 func TestKeptReplyRoundTrip(t *testing.T) {
 	c := qt.New(t)
-	answer := kept.Answer{Verdict: kept.Unknown, State: kept.Running, Reason: "store_silent", RetryAfter: comeBack}
+	answer := kept.Answer{Verdict: kept.Unknown, State: kept.Running, Reason: "store_silent", RetryAfter: refusalRetryAfter}
 	c.Assert(fromKeptReply(toKeptReply(answer).GetKeptReply()), qt.Equals, answer)
 }
--- a/pkg/node/leading.go
+++ b/pkg/node/leading.go
@@ -100,7 +100,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var hosts []Member
-	for _, row := range n.rows {
+	for _, row := range n.memberRows {
 		if row.Domain == n.leadingDomain {
 			hosts = append(hosts, row)
 		}
@@ -119,8 +119,8 @@
 // compareReaders orders hosts of another domain: first those that report to be the reader,
 // then by reader rank. n.mu is held.
 func (n *Node) compareReaders(a, b Member) int {
-	if n.readers[a.PeerAddress] != n.readers[b.PeerAddress] {
-		if n.readers[a.PeerAddress] {
+	if n.listReaders[a.PeerAddress] != n.listReaders[b.PeerAddress] {
+		if n.listReaders[a.PeerAddress] {
 			return -1
 		}
 		return 1
@@ -156,7 +156,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, followTimeout)
 	defer cancel()
-	m, err := n.fetchSnapshot(ctx, link, newsExecutors)
+	m, err := n.fetchSnapshot(ctx, link, snapshotExecutors)
 	if err != nil {
 		n.Log.Info("leading_reader_unanswered", "peer", address, "error", err.Error())
 		return false
@@ -165,12 +165,12 @@
 		n.Log.Info("leading_reader_not_fresh", "peer", address, "age_ms", m.GetAgeMs())
 		return false
 	}
-	return n.applyList(fromPassed(m), askedAt-ageOf(m))
+	return n.applyList(fromRelayedList(m), askedAt-ageOf(m))
 }
 
 // isFreshList reports whether a response holds a list that was read recently enough.
 func isFreshList(m *peerpb.Snapshot) bool {
-	return m.GetKind() == newsExecutors && m.GetRevision() > 0 && ageOf(m) <= maxLeadingListAge
+	return m.GetKind() == snapshotExecutors && m.GetRevision() > 0 && ageOf(m) <= maxLeadingListAge
 }
 
 // ageOf returns how long ago the sender of a list requested it from the store.
--- a/pkg/node/leading_test.go
+++ b/pkg/node/leading_test.go
@@ -32,7 +32,7 @@
 		for d := range domains {
 			n := newTestNode(c, &fakeStore{})
 			n.settings.Domain = fmt.Sprintf("domain-%d", d)
-			n.rows, n.leadingDomain = rows, leadingDomain(rows)
+			n.memberRows, n.leadingDomain = rows, leadingDomain(rows)
 			if !n.followsLeading() {
 				reading++
 			}
@@ -64,10 +64,10 @@
 		want     bool
 	}
 	scenarios := []scenario{
-		{testName: "read a moment ago", answer: &peerpb.Snapshot{Kind: newsExecutors, Revision: 5, AgeMs: 400}, want: true},
-		{testName: "read too long ago", answer: &peerpb.Snapshot{Kind: newsExecutors, Revision: 5, AgeMs: maxLeadingListAge.Milliseconds() + 1}},
-		{testName: "the host has no list", answer: &peerpb.Snapshot{Kind: newsExecutors}},
-		{testName: "another kind of snapshot", answer: &peerpb.Snapshot{Kind: newsConfiguration, Revision: 5}},
+		{testName: "read a moment ago", answer: &peerpb.Snapshot{Kind: snapshotExecutors, Revision: 5, AgeMs: 400}, want: true},
+		{testName: "read too long ago", answer: &peerpb.Snapshot{Kind: snapshotExecutors, Revision: 5, AgeMs: maxLeadingListAge.Milliseconds() + 1}},
+		{testName: "the host has no list", answer: &peerpb.Snapshot{Kind: snapshotExecutors}},
+		{testName: "another kind of snapshot", answer: &peerpb.Snapshot{Kind: snapshotConfiguration, Revision: 5}},
 		{testName: "no snapshot", answer: nil},
 	}
 	for _, s := range scenarios {
@@ -88,7 +88,7 @@
 	other.roster.ApplyFull(&catalog.Executors{Revision: 8, ByID: map[string]catalog.Executor{}}, 0)
 	other.publish(true, other.Clock.Now()-maxLeadingListAge-time.Second)
 	other.handleRelayed(reader.executorsSince(8), otherAddress)
-	other.passedAt.Store(int64(other.Clock.Now()))
+	other.listConfirmedByPeerAt.Store(int64(other.Clock.Now()))
 	c.Assert(isFreshList(reader.executorsSince(8)), qt.IsTrue)
 	c.Assert(isFreshList(other.executorsSince(8)), qt.IsFalse)
 }
@@ -113,7 +113,7 @@
 	leader.roster.ApplyChanges(&catalog.ExecutorChanges{Revision: 33}) // clocks only
 	changes := leader.executorsSince(n.executorsRevision())
 	c.Assert(isFreshList(changes), qt.IsTrue)
-	c.Assert(n.applyList(fromPassed(changes), readAt), qt.IsTrue)
+	c.Assert(n.applyList(fromRelayedList(changes), readAt), qt.IsTrue)
 
 	c.Assert(n.roster.Executors().ByID, qt.HasLen, 1)
 	c.Assert(n.roster.Executors().ByID["f"].ID, qt.Equals, "f")
--- a/pkg/node/members.go
+++ b/pkg/node/members.go
@@ -18,7 +18,7 @@
 	"github.com/foxcroft/foxcroft/pkg/peerpb"
 )
 
-func quietLog() *log.Logger { return log.New(io.Discard, "", 0) }
+func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
 // refreshLinks opens and closes links according to the table of members.
 func (n *Node) refreshLinks() {
@@ -37,12 +37,12 @@
 		listed = append(listed, member.ListedHost{Name: row.Name, Domain: row.Domain, Address: row.PeerAddress, Weight: row.Capacity.CPU})
 	}
 	n.mu.Lock()
-	n.rows = byName
+	n.memberRows = byName
 	n.leadingDomain = leadingDomain(byName)
 	own, announced := byName[n.settings.Name]
 	if !n.rowsRead {
 		n.rowsRead = true
-		n.back = announced && own.PeerAddress == n.settings.PeerAddress
+		n.restarted = announced && own.PeerAddress == n.settings.PeerAddress
 	}
 	n.members.SetListed(listed)
 	n.members.ForgetSeeds()
@@ -64,7 +64,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.ContainsFunc(changes.Unreadable, func(row catalog.Unreadable) bool {
-		_, known := n.rows[row.Key]
+		_, known := n.memberRows[row.Key]
 		return known || row.Key == n.settings.Name // which has to be rewritten
 	})
 }
@@ -73,7 +73,7 @@
 func (n *Node) rowsWith(changes MemberChanges) []Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	rows := maps.Clone(n.rows)
+	rows := maps.Clone(n.memberRows)
 	for _, row := range changes.Listed {
 		rows[row.Name] = row
 	}
@@ -103,15 +103,15 @@
 	p := member.Peer{Name: hello.Name, Domain: hello.Domain, Address: address, Leaving: hello.Leaving, Weight: int(hello.Weight)}
 	copy(p.Incarnation[:], hello.Incarnation)
 	n.mu.Lock()
-	isReachableAgain := p.Domain == n.settings.Domain && !n.seesMate(address)
+	isReachableAgain := p.Domain == n.settings.Domain && !n.reachesSameDomain(address)
 	n.members.LinkUp(p)
 	n.viewVersion.Add(1)
 	n.mu.Unlock()
 	n.changed.signal()
 	if isReachableAgain {
-		n.openNews.back(n.Clock.Now())
+		n.openJobTable.markResumed(n.Clock.Now())
 	}
-	n.tellAgain(address, hello.Domain)
+	n.resendAnnouncements(address, hello.Domain)
 }
 
 // LinkDown implements peer.Observer. The peer's jobs stay: they belong to the link that the
@@ -125,9 +125,9 @@
 	n.renewals.forget(address)
 	n.claims.Forget(address)
 	delete(n.peerCounts, address)
-	delete(n.storeless, address)
+	delete(n.storeUnreachable, address)
 	n.mu.Unlock()
-	n.frontOutOfSight(address)
+	n.frontUnreachable(address)
 	n.changed.signal()
 	if mayClaim {
 		go n.claimCells(n.Clock.Now())
@@ -148,19 +148,19 @@
 // their front.
 func (n *Node) LinkClosed(from *peerpb.Hello) {
 	n.arrivals.forget(from.Address)
-	n.joins.gone(from.Address)
+	n.joins.linkClosed(from.Address)
 	for _, o := range n.allOwners() {
-		o.frontGone(from.Address, reasonFrontGone)
+		o.withdrawFront(from.Address, reasonFrontDisconnected)
 	}
 }
 
 // Handle implements peer.Handler.
 func (n *Node) Handle(from *peerpb.Hello, m *peerpb.Message, reply peer.Reply) {
-	n.arrivals.note(from.Address, n.Clock.Now())
+	n.arrivals.record(from.Address, n.Clock.Now())
 	switch body := m.Body.(type) {
 	case *peerpb.Message_Heartbeat:
 		response := &peerpb.Message_Heartbeat{Heartbeat: n.heartbeatFor(from, body.Heartbeat)}
-		reply(n.withMoment(&peerpb.Message{Body: response}), 0)
+		reply(n.withTimestamp(&peerpb.Message{Body: response}), 0)
 		n.handleHeartbeat(from.Address, body.Heartbeat)
 	case *peerpb.Message_Dispatch:
 		n.onDispatch(from, body.Dispatch, reply)
@@ -179,7 +179,7 @@
 	case *peerpb.Message_KeptQuery:
 		n.onKeptQuery(body.KeptQuery, reply)
 	case *peerpb.Message_Noted:
-		n.onNoted(body.Noted, reply)
+		n.onEndsPersisted(body.Noted, reply)
 	case *peerpb.Message_HandOver:
 		n.onHandOver(body.HandOver)
 	case *peerpb.Message_Snapshot:
@@ -204,8 +204,8 @@
 	}
 }
 
-// claimHeld records that the executors of a cell have accepted this node's token.
-func (n *Node) claimHeld(cellName string) {
+// claimAccepted records that the executors of a cell have accepted this node's token.
+func (n *Node) claimAccepted(cellName string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.claims.ClaimAccepted(cellName)
@@ -237,7 +237,7 @@
 	}
 	o.submit(handover, waiter{
 		front: from.Address, connection: from,
-		reply: func(outcome job.Outcome) { reply(n.withMoment(toOutcome(outcome)), 0) },
+		reply: func(outcome job.Outcome) { reply(n.withTimestamp(toOutcome(outcome)), 0) },
 	})
 }
 
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -47,49 +47,49 @@
 	links    *peer.Set
 	peers    *peer.Server
 
-	leaving       atomic.Bool  // a planned stop has begun
-	readsList     atomic.Bool  // as of the last check, this node reads the executor list for its domain
-	isHub         atomic.Bool  // as of the last check, this node may own cells of its domain
-	storeFails    atomic.Bool  // the last read of the executor list failed
-	operatorFails atomic.Bool  // the last read of the operators' changes failed
-	readingSince  atomic.Int64 // since when the executor list has been readable, as a time of the clock; 0 while it is not
-	listing       sync.Mutex   // guards roster, history and toldAt; held while a read of the executor list is applied
-	roster        *catalog.Roster
-	toldAt        time.Duration // when the list was last relayed to the nodes of the domain
-	history       *catalog.History
-	configuration atomic.Pointer[inForce]
-	closures      atomic.Pointer[catalog.Closures]
-	executors     atomic.Pointer[listing]
-	passedAt      atomic.Int64  // when a message of a peer that reads the list last arrived, as a time of the clock
-	changed       *broadcast    // signals a change of membership or claims
-	regained      *broadcast    // signals that the store answers again
-	claimed       chan struct{} // requests an immediate read of the executor list
-	viewVersion   atomic.Uint64 // increases when a host joins, leaves or begins to leave
-	heartbeats    heartbeats
-	arrivals      *arrivals
-	renewals      *renewals
-	fetches       *fetches
-	leading       leading
-	rowLog        *rowlog.Log
-	openNews      *openNews
-	joins         *joins
+	leaving               atomic.Bool  // a planned stop has begun
+	isListReader          atomic.Bool  // as of the last check, this node reads the executor list for its domain
+	isHub                 atomic.Bool  // as of the last check, this node may own cells of its domain
+	listReadFails         atomic.Bool  // the last read of the executor list failed
+	operatorReadFails     atomic.Bool  // the last read of the operators' changes failed
+	listReadableSince     atomic.Int64 // since when the executor list has been readable, as a time of the clock; 0 while it is not
+	listing               sync.Mutex   // guards roster, history and toldAt; held while a read of the executor list is applied
+	roster                *catalog.Roster
+	listRelayedAt         time.Duration // when the list was last relayed to the nodes of the domain
+	history               *catalog.History
+	configuration         atomic.Pointer[activeConfiguration]
+	closures              atomic.Pointer[catalog.Closures]
+	executors             atomic.Pointer[listing]
+	listConfirmedByPeerAt atomic.Int64  // when a message of a peer that reads the list last arrived, as a time of the clock
+	changed               *broadcast    // signals a change of membership or claims
+	storeRecovered        *broadcast    // signals that the store answers again
+	listRequested         chan struct{} // requests an immediate read of the executor list
+	viewVersion           atomic.Uint64 // increases when a host joins, leaves or begins to leave
+	heartbeats            heartbeats
+	arrivals              *arrivals
+	renewals              *renewals
+	fetches               *fetches
+	leading               leading
+	rowLog                *rowlog.Log
+	openJobTable          *openJobTable
+	joins                 *joins
 
-	mu       sync.Mutex // guards what follows
-	members  *member.Table
-	claims   *ownership.Table
-	rows     map[string]Member // the nodes' rows in the store, by node name
-	rowsRead bool              // the nodes' rows have been read at least once
+	mu         sync.Mutex // guards what follows
+	members    *member.Table
+	claims     *ownership.Table
+	memberRows map[string]Member // the nodes' rows in the store, by node name
+	rowsRead   bool              // the nodes' rows have been read at least once
 
 	leadingDomain string // domain whose reader follows the executor list for all domains; empty when not known
 
-	back       bool                     // the first read of the rows contained this node's own: it has restarted
-	ownerless  bool                     // a cell of this domain lacks an owner
-	crowded    bool                     // this domain is short of capacity
-	lastSeen   map[string]time.Duration // when the node of a row was last reachable, by node name
-	peerCounts map[string]map[string]int
-	storeless  map[string]bool // nodes that cannot read the store, by address
-	readers    map[string]bool // nodes that read the executor list for their domains, by address
-	owners     map[string]*owner
+	restarted        bool                     // the first read of the rows contained this node's own: it has restarted
+	ownerless        bool                     // a cell of this domain lacks an owner
+	shortOfCapacity  bool                     // this domain is short of capacity
+	lastReachable    map[string]time.Duration // when the node of a row was last reachable, by node name
+	peerCounts       map[string]map[string]int
+	storeUnreachable map[string]bool // nodes that cannot read the store, by address
+	listReaders      map[string]bool // nodes that read the executor list for their domains, by address
+	owners           map[string]*owner
 
 	front          *front
 	keeping        *keeping.Service
@@ -109,37 +109,37 @@
 	}
 	c = c.With("node", s.Name)
 	n := &Node{
-		Common:     c,
-		settings:   s,
-		order:      order,
-		inc:        inc,
-		adapter:    adapter,
-		store:      adapter.Store(),
-		meter:      meter,
-		counters:   &peer.Counters{Wire: meter.Of(traffic.Peers)},
-		changed:    newBroadcast(),
-		regained:   newBroadcast(),
-		claimed:    make(chan struct{}, 1),
-		arrivals:   newArrivals(),
-		renewals:   newRenewals(),
-		roster:     catalog.NewRoster(),
-		history:    catalog.NewHistory(lapseTime),
-		fetches:    newFetches(),
-		rowLog:     rowlog.New(),
-		rows:       map[string]Member{},
-		lastSeen:   map[string]time.Duration{},
-		peerCounts: map[string]map[string]int{},
-		storeless:  map[string]bool{},
-		readers:    map[string]bool{},
-		owners:     map[string]*owner{},
+		Common:           c,
+		settings:         s,
+		order:            order,
+		inc:              inc,
+		adapter:          adapter,
+		store:            adapter.Store(),
+		meter:            meter,
+		counters:         &peer.Counters{Wire: meter.Of(traffic.Peers)},
+		changed:          newBroadcast(),
+		storeRecovered:   newBroadcast(),
+		listRequested:    make(chan struct{}, 1),
+		arrivals:         newArrivals(),
+		renewals:         newRenewals(),
+		roster:           catalog.NewRoster(),
+		history:          catalog.NewHistory(missingEntriesPeriod),
+		fetches:          newFetches(),
+		rowLog:           rowlog.New(),
+		memberRows:       map[string]Member{},
+		lastReachable:    map[string]time.Duration{},
+		peerCounts:       map[string]map[string]int{},
+		storeUnreachable: map[string]bool{},
+		listReaders:      map[string]bool{},
+		owners:           map[string]*owner{},
 	}
 	self := member.Peer{Name: s.Name, Domain: s.Domain, Address: s.PeerAddress, Incarnation: inc}
-	n.members = member.NewTable(self, without(s.Seeds, s.PeerAddress), linksToOtherDomains)
+	n.members = member.NewTable(self, excludeAddress(s.Seeds, s.PeerAddress), linksToOtherDomains)
 	n.isHub.Store(true) // until the nodes' rows have been read
 	n.claims = ownership.NewTable(ownership.DefaultLimits(), c.Clock.Now())
 	link := settings.Link{Heartbeat: s.Heartbeat, SuspectAfter: s.SuspectAfter}
 	n.links = peer.NewSet(c, link, n, n.counters)
-	n.openNews = newOpenNews(s.ResubmitAfter, n.settleTime())
+	n.openJobTable = newOpenJobTable(s.ResubmitAfter, n.settleTime())
 	n.joins = newJoins()
 	n.front = newFront(n)
 	n.foreignDomains = newForeignDomains()
@@ -157,8 +157,8 @@
 // domain, in addition to the links to the owners of that domain's cells.
 const linksToOtherDomains = 3
 
-// without returns the addresses other than own.
-func without(addresses []string, own string) []string {
+// excludeAddress returns the addresses other than own.
+func excludeAddress(addresses []string, own string) []string {
 	var others []string
 	for _, address := range addresses {
 		if address != own {
@@ -190,7 +190,7 @@
 			return err
 		}
 	}
-	go n.runNews(ctx)
+	go n.runStoreReaders(ctx)
 	go n.runRows(ctx)
 	go n.runCells(ctx)
 	go n.runTraffic(ctx)
@@ -207,7 +207,7 @@
 		return errors.Wrap(err, "listen on "+address)
 	}
 	listener = n.meter.Of(traffic.Callers).Listener(listener)
-	server := &http.Server{Handler: handler, ErrorLog: quietLog(), ReadHeaderTimeout: defaultHeaderTimeout}
+	server := &http.Server{Handler: handler, ErrorLog: discardLog(), ReadHeaderTimeout: defaultHeaderTimeout}
 	if configure != nil {
 		configure(server)
 	}
@@ -254,14 +254,14 @@
 			n.resizeCells()
 			n.claimCells(now)
 			n.refreshOwnClaims()
-			n.noticeCrowd()
-			n.noticeHub()
+			n.updateShortOfCapacity()
+			n.updateHub()
 			n.updateReader()
-			n.dropSilentFronts(now)
+			n.dropUnresponsiveFronts(now)
 			nextClaim = now + n.nextClaimDelay()
 		}
 		n.renewJobs(n.Clock.Now())
-		n.tellOpenJobs(n.Clock.Now())
+		n.announceOpenJobs(n.Clock.Now())
 		if now := n.Clock.Now(); now >= nextLinks {
 			n.refreshLinks()
 			nextLinks = now + linkRefreshInterval
--- a/pkg/node/open.go
+++ b/pkg/node/open.go
@@ -109,7 +109,7 @@
 // the job leaves the list of open jobs, so that a front that asks in between finds one of them.
 func (f *front) end(open *openJob, outcome job.Outcome) {
 	open.outcome = outcome
-	f.node.openNews.closed(open, outcome, f.node.Clock.Now())
+	f.node.openJobTable.remove(open, outcome, f.node.Clock.Now())
 	f.mu.Lock()
 	delete(f.open, open.job.ID)
 	f.mu.Unlock()
@@ -153,16 +153,16 @@
 // stopped. The runs of a split job are with several owners, so it waits until all have ended.
 func (f *front) attemptAfter(ctx context.Context, former *openJob) attempt {
 	f.mu.Lock()
-	state := attempt{epoch: former.epoch + 1, started: former.started, lostCell: former.cell}
+	state := attempt{epoch: former.epoch + 1, started: former.started, formerCell: former.cell}
 	isSplit := former.isSplit
 	f.mu.Unlock()
 	if !state.started {
 		return attempt{epoch: 1}
 	}
-	state.settleAt = f.node.Clock.Now() + f.node.settleTime()
+	state.notBefore = f.node.Clock.Now() + f.node.settleTime()
 	if isSplit {
-		f.sleepUntil(ctx, state.settleAt)
-		state.lostCell = ""
+		f.sleepUntil(ctx, state.notBefore)
+		state.formerCell = ""
 	}
 	return state
 }
@@ -178,8 +178,8 @@
 	}
 }
 
-// markCarried records that this node follows the job.
-func (f *front) markCarried(open *openJob) {
+// markFollowed records that this node follows the job.
+func (f *front) markFollowed(open *openJob) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	open.isFollowed = true
--- a/pkg/node/openjobs.go
+++ b/pkg/node/openjobs.go
@@ -22,9 +22,9 @@
 // them may itself be cut off from the front.
 const askedPerDomain = 3
 
-// openNews holds the open jobs that this host announces, and those that other fronts have
+// openJobTable holds the open jobs that this host announces, and those that other fronts have
 // announced.
-type openNews struct {
+type openJobTable struct {
 	mu     sync.Mutex
 	local  *openjobs.LocalJobs
 	others *openjobs.Table
@@ -44,14 +44,14 @@
 // mayHaveRun reports whether tasks of the job may have started.
 func (e *endedHere) mayHaveRun() bool { return e.outcome.Started || e.outcome.Kind != job.Refused }
 
-// isGivenUp reports whether the job had started and ended without a final outcome: it was
+// isAbandoned reports whether the job had started and ended without a final outcome: it was
 // abandoned or its deadline passed.
-func (e *endedHere) isGivenUp() bool {
+func (e *endedHere) isAbandoned() bool {
 	return e.outcome.Started && e.outcome.Kind != job.Completed && e.outcome.Kind != job.Failed
 }
 
-func newOpenNews(resubmitAfter, settle time.Duration) *openNews {
-	return &openNews{
+func newOpenJobTable(resubmitAfter, settle time.Duration) *openJobTable {
+	return &openJobTable{
 		local:  openjobs.NewLocalJobs(resubmitAfter, settle),
 		others: openjobs.NewTable(settle),
 		ended:  map[string]endedHere{},
@@ -60,34 +60,34 @@
 	}
 }
 
-// opened records that this front holds a job open.
-func (o *openNews) opened(j *job.Job) {
+// add records that this front holds a job open.
+func (o *openJobTable) add(j *job.Job) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.local.Add(j.ID, j.Received, j.Deadline)
 }
 
-// closed records that a job has ended at this front. The outcome is retained for keepOutcomes
+// remove records that a job has ended at this front. The outcome is retained for keepOutcomes
 // if the job was announced, so that other fronts can ask about it, or if it was given up, so
 // that a resubmission isn't taken for a job of which nothing has run. Jobs that this front
 // didn't follow have left no runs and aren't retained.
-func (o *openNews) closed(open *openJob, outcome job.Outcome, now time.Duration) {
+func (o *openJobTable) remove(open *openJob, outcome job.Outcome, now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.searches, open.job.ID)
 	isAnnounced := o.local.Remove(open.job.ID) || o.ended[open.job.ID].isAnnounced // this submission or an earlier one
 	e := endedHere{outcome: outcome, at: now, isAnnounced: isAnnounced}
-	if open.isFollowed && (e.isAnnounced || e.isGivenUp()) {
+	if open.isFollowed && (e.isAnnounced || e.isAbandoned()) {
 		o.ended[open.job.ID] = e
 	}
 }
 
 // nextBatch returns the announcements that are due, and drops outcomes whose retention is over.
-func (o *openNews) nextBatch(now time.Duration) []openjobs.Announcement {
+func (o *openJobTable) nextBatch(now time.Duration) []openjobs.Announcement {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for id, e := range o.ended {
-		if now > e.at+keepOutcomes {
+		if now > e.at+outcomeRetention {
 			delete(o.ended, id)
 		}
 	}
@@ -95,14 +95,14 @@
 }
 
 // find returns the other fronts that are known to hold a job open.
-func (o *openNews) find(id string, now time.Duration) []openjobs.Entry {
+func (o *openJobTable) find(id string, now time.Duration) []openjobs.Entry {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.others.Find(id, now)
 }
 
 // announcedEnd returns the end of a job here, if the job was announced to other hosts.
-func (o *openNews) announcedEnd(id string) (endedHere, bool) {
+func (o *openJobTable) announcedEnd(id string) (endedHere, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	e, known := o.ended[id]
@@ -111,7 +111,7 @@
 
 // mayHaveRun reports whether an earlier submission of a job has ended here and tasks of it
 // may have started.
-func (o *openNews) mayHaveRun(id string) bool {
+func (o *openJobTable) mayHaveRun(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	e, known := o.ended[id]
@@ -120,7 +120,7 @@
 
 // newSearch begins the search for the front that holds a resubmitted job open. No run that
 // this front followed is alive at settledAt.
-func (o *openNews) newSearch(open *openJob, settledAt time.Duration) *openjobs.Search {
+func (o *openJobTable) newSearch(open *openJob, settledAt time.Duration) *openjobs.Search {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	s := openjobs.NewSearch(open.job.ID, settledAt)
@@ -130,7 +130,7 @@
 
 // next is Search.Next, but starts no job before this host has received the announcements of
 // the others after it resumed.
-func (o *openNews) next(s *openjobs.Search, now time.Duration) (at time.Duration, mayStart bool) {
+func (o *openJobTable) next(s *openjobs.Search, now time.Duration) (at time.Duration, mayStart bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	at, mayStart = s.Next(o.others, now)
@@ -140,8 +140,8 @@
 	return at, mayStart
 }
 
-// back records that this host was cut off from its domain, or paused, until now.
-func (o *openNews) back(now time.Duration) {
+// markResumed records that this host was cut off from its domain, or paused, until now.
+func (o *openJobTable) markResumed(now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.resumedAt = now
@@ -150,16 +150,16 @@
 
 // resyncedAt returns when this host has received the announcements of the others after it
 // last resumed.
-func (o *openNews) resyncedAt() time.Duration {
+func (o *openJobTable) resyncedAt() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.resumedAt + openjobs.ResyncDelay
 }
 
-// tellOpenJobs announces this host's open jobs to other hosts, to which callers may resubmit
+// announceOpenJobs announces this host's open jobs to other hosts, to which callers may resubmit
 // them.
-func (n *Node) tellOpenJobs(now time.Duration) {
-	batch := n.openNews.nextBatch(now)
+func (n *Node) announceOpenJobs(now time.Duration) {
+	batch := n.openJobTable.nextBatch(now)
 	if len(batch) == 0 {
 		return
 	}
@@ -210,9 +210,9 @@
 	for _, announced := range m.Jobs {
 		jobs = append(jobs, openjobs.Announcement{ID: announced.Id, Remaining: microseconds(announced.LeftUs)})
 	}
-	n.openNews.mu.Lock()
-	dropped := n.openNews.others.Record(front, from.Address, jobs, m.PassOn, n.Clock.Now())
-	n.openNews.mu.Unlock()
+	n.openJobTable.mu.Lock()
+	dropped := n.openJobTable.others.Record(front, from.Address, jobs, m.PassOn, n.Clock.Now())
+	n.openJobTable.mu.Unlock()
 	if dropped > 0 {
 		n.Log.Warn("open_jobs_dropped", "front", front.Address, "jobs", dropped, "remedy", "shorten long jobs, or add hosts to spread them over")
 	}
@@ -231,17 +231,19 @@
 
 // LinkResumed implements peer.Resumer. Announcements in transit on the previous connection may
 // be lost, so they are sent again.
-func (n *Node) LinkResumed(address string, hello *peerpb.Hello) { n.tellAgain(address, hello.Domain) }
+func (n *Node) LinkResumed(address string, hello *peerpb.Hello) {
+	n.resendAnnouncements(address, hello.Domain)
+}
 
-// tellAgain sends a host the announcements that it may have missed or lost: this host's own,
+// resendAnnouncements sends a host the announcements that it may have missed or lost: this host's own,
 // and those that this host relays in its domain.
-func (n *Node) tellAgain(address, domain string) {
+func (n *Node) resendAnnouncements(address, domain string) {
 	now := n.Clock.Now()
-	n.openNews.mu.Lock()
-	n.openNews.others.LinkUp(address)
-	local := n.openNews.local.Announced(now)
-	relayed := n.openNews.others.ToRelay(now)
-	n.openNews.mu.Unlock()
+	n.openJobTable.mu.Lock()
+	n.openJobTable.others.LinkUp(address)
+	local := n.openJobTable.local.Announced(now)
+	relayed := n.openJobTable.others.ToRelay(now)
+	n.openJobTable.mu.Unlock()
 	n.sendOpenJobs(address, n.asFront(), local, domain != n.settings.Domain)
 	if domain != n.settings.Domain {
 		return
@@ -253,18 +255,18 @@
 	}
 }
 
-// seesMate reports whether a host of this domain other than except is reachable. n.mu is
+// reachesSameDomain reports whether a host of this domain other than except is reachable. n.mu is
 // held.
-func (n *Node) seesMate(except string) bool {
+func (n *Node) reachesSameDomain(except string) bool {
 	isOther := func(p member.Peer) bool { return p.Address != except && p.Domain == n.settings.Domain }
 	return slices.ContainsFunc(n.members.View(n.inc).Peers, isOther)
 }
 
-// frontOutOfSight records that the link to a host is down.
-func (n *Node) frontOutOfSight(address string) {
-	n.openNews.mu.Lock()
-	defer n.openNews.mu.Unlock()
-	n.openNews.others.LinkDown(address, n.Clock.Now())
+// frontUnreachable records that the link to a host is down.
+func (n *Node) frontUnreachable(address string) {
+	n.openJobTable.mu.Lock()
+	defer n.openJobTable.mu.Unlock()
+	n.openJobTable.others.LinkDown(address, n.Clock.Now())
 }
 
 // vantageOf reports whether this host, besides the front, reaches another host of the front's
@@ -276,7 +278,7 @@
 	}
 	n.mu.Lock()
 	hasThird := false
-	for _, row := range n.rows {
+	for _, row := range n.memberRows {
 		isThird := row.PeerAddress != front.Address && row.PeerAddress != n.settings.PeerAddress
 		hasThird = hasThird || (isThird && row.Domain == n.settings.Domain)
 	}
--- a/pkg/node/overdue_calls_test.go
+++ b/pkg/node/overdue_calls_test.go
@@ -59,9 +59,9 @@
 		}
 		calls.observe(verdict, trip)
 	}
-	c.Assert(calls.trips.Timeout(), qt.Equals, minRoundTrip)
+	c.Assert(calls.roundTrips.Timeout(), qt.Equals, minRoundTrip)
 	for range 20 {
 		calls.observe(cell.Accepted, 150*time.Millisecond) // late answers on a congested link
 	}
-	c.Assert(calls.trips.Timeout() > 150*time.Millisecond, qt.IsTrue)
+	c.Assert(calls.roundTrips.Timeout() > 150*time.Millisecond, qt.IsTrue)
 }
--- a/pkg/node/owner.go
+++ b/pkg/node/owner.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// keepOutcomes is how long an owner keeps the outcome of an ended job, for
+	// outcomeRetention is how long an owner keeps the outcome of an ended job, for
 	// a front that did not receive the answer.
-	keepOutcomes = 5 * time.Second
-	// longestGap is the longest time between two events of a cell that does not
+	outcomeRetention = 5 * time.Second
+	// maxTickGap is the longest time between two events of a cell that does not
 	// count as a stall of this process.
-	longestGap = 400 * time.Millisecond
+	maxTickGap = 400 * time.Millisecond
 	// pauseAfterStall is how long a cell starts nothing after a stall, so that messages
 	// of peers that took this process for dead can arrive.
 	pauseAfterStall = 300 * time.Millisecond
@@ -102,7 +102,7 @@
 func (o *owner) pauseIfStalled(now time.Duration) {
 	gap := now - o.lastRun
 	o.lastRun = now
-	if gap > longestGap {
+	if gap > maxTickGap {
 		o.node.Log.Warn("owner_stood_still", "cell", o.cell, "gap_ms", gap.Milliseconds())
 		o.state.PauseStarts(now + pauseAfterStall)
 	}
@@ -183,7 +183,7 @@
 		return
 	}
 	o.node.Log.Info("job_withdrawn", "job", id, "cell", o.cell, "reason", reason, "front", front, "last_of_it", last,
-		"silent_ms", o.node.arrivals.silence(front, o.node.Clock.Now()).Milliseconds())
+		"silent_ms", o.node.arrivals.sinceReceived(front, o.node.Clock.Now()).Milliseconds())
 	var progress []job.Progress
 	if last {
 		o.do(func(state *cell.Cell, now time.Duration) {
@@ -193,7 +193,7 @@
 			}
 		})
 	}
-	if reason != reasonFrontSilent {
+	if reason != reasonFrontUnresponsive {
 		return
 	}
 	// An unresponsive front may still be alive, and would wait for an answer that never comes.
@@ -239,9 +239,9 @@
 	return fronts
 }
 
-// frontGone withdraws all jobs of a front that is disconnected or unresponsive. The
+// withdrawFront withdraws all jobs of a front that is disconnected or unresponsive. The
 // front, or its callers, will submit them again.
-func (o *owner) frontGone(front, reason string) {
+func (o *owner) withdrawFront(front, reason string) {
 	o.mu.Lock()
 	var ids []string
 	for id, waiters := range o.waiters {
@@ -286,7 +286,7 @@
 	if !completed {
 		return
 	}
-	o.node.claimHeld(o.cell)
+	o.node.claimAccepted(o.cell)
 	if o.formerOwner != "" {
 		o.node.sendHandOver(o.formerOwner, o.cell, o.token)
 	}
--- a/pkg/node/owner_kept.go
+++ b/pkg/node/owner_kept.go
@@ -12,7 +12,7 @@
 	// unpersistedOutcomeRetention is how long an owner keeps the outcome of a kept job
 	// whose end is not confirmed as persisted: while the executors still list the ends of
 	// its tasks, and then as long as for any other job.
-	unpersistedOutcomeRetention = cell.UnpersistedEndRetention + keepOutcomes
+	unpersistedOutcomeRetention = cell.UnpersistedEndRetention + outcomeRetention
 	// cancellationRetention is how long an owner refuses a cancelled kept job. A coordinator
 	// that submits the job later than that has read the cancellation from its row.
 	cancellationRetention = 20 * time.Second
@@ -47,7 +47,7 @@
 	if k.inCell[id] {
 		return unpersistedOutcomeRetention
 	}
-	return keepOutcomes
+	return outcomeRetention
 }
 
 func (k *keptJobs) isCancelled(id string, now time.Duration) bool { return now < k.cancelled[id] }
@@ -70,7 +70,7 @@
 			if cancelled {
 				replies = append(replies, o.cancelKept(state, id, now)...)
 			} else if known, ok := o.ended[id]; ok {
-				o.ended[id] = endedOutcome{outcome: known.outcome, until: now + keepOutcomes}
+				o.ended[id] = endedOutcome{outcome: known.outcome, until: now + outcomeRetention}
 			}
 		}
 		state.EndsPersisted(ids, now)
--- a/pkg/node/owner_kept_test.go
+++ b/pkg/node/owner_kept_test.go
@@ -64,16 +64,16 @@
 		answers  int
 	}
 	scenarios := []scenario{
-		{testName: "its coordinator is disconnected", kept: true, reason: reasonFrontGone},
-		{testName: "its coordinator is unresponsive", kept: true, reason: reasonFrontSilent, answers: 1},
-		{testName: "not a kept job", reason: reasonFrontGone},
+		{testName: "its coordinator is disconnected", kept: true, reason: reasonFrontDisconnected},
+		{testName: "its coordinator is unresponsive", kept: true, reason: reasonFrontUnresponsive, answers: 1},
+		{testName: "not a kept job", reason: reasonFrontDisconnected},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			k := newKeptOwnerTest(c)
 			k.submit("a", s.kept)
-			k.owner.frontGone("coordinator:1", s.reason)
+			k.owner.withdrawFront("coordinator:1", s.reason)
 			c.Assert(k.outcomes, qt.HasLen, s.answers)
 			c.Assert(k.owner.busy(), qt.Equals, s.kept)
 			c.Assert(k.owner.fronts(), qt.HasLen, 0)
@@ -95,12 +95,12 @@
 	}
 	const margin = 100 * time.Millisecond
 	scenarios := []scenario{
-		{testName: "not a kept job, just before the limit", after: keepOutcomes - margin, stays: true},
-		{testName: "not a kept job, just after the limit", after: keepOutcomes + margin},
+		{testName: "not a kept job, just before the limit", after: outcomeRetention - margin, stays: true},
+		{testName: "not a kept job, just after the limit", after: outcomeRetention + margin},
 		{testName: "kept, end not persisted, just before the limit", kept: true, after: unpersistedOutcomeRetention - margin, stays: true},
 		{testName: "kept, end not persisted, just after the limit", kept: true, after: unpersistedOutcomeRetention + margin},
-		{testName: "kept, end persisted, just before the limit", kept: true, persisted: true, after: keepOutcomes - margin, stays: true},
-		{testName: "kept, end persisted, just after the limit", kept: true, persisted: true, after: keepOutcomes + margin},
+		{testName: "kept, end persisted, just before the limit", kept: true, persisted: true, after: outcomeRetention - margin, stays: true},
+		{testName: "kept, end persisted, just after the limit", kept: true, persisted: true, after: outcomeRetention + margin},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/pkg/node/pace.go
+++ b/pkg/node/pace.go
@@ -30,7 +30,7 @@
 		return distantOwnerSlowdown
 	case !n.claims.Owns(address):
 		return nonOwnerSlowdown
-	case n.crowded && !n.onSlowLink():
+	case n.shortOfCapacity && !n.onSlowLink():
 		return 1
 	}
 	return distantOwnerSlowdown
@@ -43,25 +43,25 @@
 	return !up || peer.Domain == n.settings.Domain
 }
 
-// beatsFast reports whether heartbeats to another node are frequent even without a job
+// hasFrequentHeartbeats reports whether heartbeats to another node are frequent even without a job
 // there, because this node may claim its cells.
-func (n *Node) beatsFast(address string) bool {
+func (n *Node) hasFrequentHeartbeats(address string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.isHub.Load() && n.claims.OwnsIn(address, n.settings.Domain)
 }
 
-// noticeCrowd updates whether this domain is short of capacity, so that jobs may have to go
+// updateShortOfCapacity updates whether this domain is short of capacity, so that jobs may have to go
 // to other domains. Heartbeats to owners there are then frequent, to keep their loads fresh.
-func (n *Node) noticeCrowd() {
+func (n *Node) updateShortOfCapacity() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.crowded = ownership.IsShortOfCapacity(n.claims.Owned(), n.settings.Domain)
+	n.shortOfCapacity = ownership.IsShortOfCapacity(n.claims.Owned(), n.settings.Domain)
 }
 
-// noticeOwnerless makes heartbeats on the domain's links frequent when a cell of this domain
+// updateOwnerless makes heartbeats on the domain's links frequent when a cell of this domain
 // has no owner, so that further unreachable hosts are detected soon.
-func (n *Node) noticeOwnerless(listing *listing) {
+func (n *Node) updateOwnerless(listing *listing) {
 	cells := listing.cellsOf(n.settings.Domain)
 	n.mu.Lock()
 	ownerless := !n.claims.AllOwned(cells)
--- a/pkg/node/pace_test.go
+++ b/pkg/node/pace_test.go
@@ -48,10 +48,10 @@
 				n.claims.SetClaims(peer, []ownership.Claim{{Cell: "far", Token: 1}})
 			}
 			if s.dispatched {
-				defer n.front.noteDispatch(peer)()
+				defer n.front.recordDispatch(peer)()
 			}
-			n.crowded = s.shortOfCapacity
-			n.noticeOwnerless(listed)
+			n.shortOfCapacity = s.shortOfCapacity
+			n.updateOwnerless(listed)
 			c.Assert(n.Slowdown(peer), qt.Equals, s.want)
 		})
 	}
--- a/pkg/node/parts.go
+++ b/pkg/node/parts.go
@@ -76,7 +76,7 @@
 	ended := make(chan *part, len(parts))
 	for _, p := range parts {
 		state := begin
-		state.wanted = p.cell
+		state.preferredCell = p.cell
 		go func() {
 			p.outcome = f.follow(ctx, p.job, state)
 			ended <- p
@@ -101,5 +101,5 @@
 	}
 	combined.Started = first.Started || second.Started
 	combined.Chain = max(first.Chain, second.Chain)
-	return ofAllSendings(combined)
+	return acrossSubmissions(combined)
 }
--- a/pkg/node/refusals.go
+++ b/pkg/node/refusals.go
@@ -10,28 +10,28 @@
 // submissions of the job that this host knows of: the owner or front that refuses the
 // last one may not know of the others.
 
-// ofAllSendings returns the outcome of a job, over all its submissions and parts, as its
+// acrossSubmissions returns the outcome of a job, over all its submissions and parts, as its
 // callers get it: a refusal becomes an expiry if a task may have started.
-func ofAllSendings(outcome job.Outcome) job.Outcome {
+func acrossSubmissions(outcome job.Outcome) job.Outcome {
 	if outcome.Kind == job.Refused && outcome.Started {
 		outcome.Kind = job.Expired
 	}
 	return outcome
 }
 
-// turnAway answers a job that arrives while this host stops, without dispatching it: with
+// refuseStopping answers a job that arrives while this host stops, without dispatching it: with
 // the outcome of an earlier submission that is open or has ended here, or with a refusal.
-func (f *front) turnAway(ctx context.Context, j *job.Job) job.Outcome {
+func (f *front) refuseStopping(ctx context.Context, j *job.Job) job.Outcome {
 	if open := f.join(j.ID); open != nil {
 		return f.awaitHere(ctx, open, j)
 	}
 	if end := f.node.endOf(j.ID); end.Kind != job.Moved {
 		return end
 	}
-	news := f.node.openNews
+	news := f.node.openJobTable
 	isOpenElsewhere := len(news.find(j.ID, f.node.Clock.Now())) > 0
-	return ofAllSendings(job.Outcome{
-		Kind: job.Refused, Reason: errStopping.Error(), RetryAfter: comeBack,
+	return acrossSubmissions(job.Outcome{
+		Kind: job.Refused, Reason: errStopping.Error(), RetryAfter: refusalRetryAfter,
 		Started: isOpenElsewhere || news.mayHaveRun(j.ID),
 	})
 }
--- a/pkg/node/refusals_test.go
+++ b/pkg/node/refusals_test.go
@@ -15,7 +15,7 @@
 // or front refuses the current submission.
 
 var (
-	refusedUnstarted = job.Outcome{Kind: job.Refused, Reason: "overloaded", RetryAfter: comeBack}
+	refusedUnstarted = job.Outcome{Kind: job.Refused, Reason: "overloaded", RetryAfter: refusalRetryAfter}
 	leftUnstarted    = job.Outcome{Kind: job.Expired, Reason: "caller_left"}
 	mayHaveRun       = job.Outcome{Kind: job.Expired, Reason: "caller_left", Started: true}
 )
@@ -27,16 +27,16 @@
 		want     job.Kind
 	}{
 		{"not submitted here", func(*Node) {}, job.Refused},
-		{"refused here, nothing started", func(a *Node) { a.front.end(hold(a), refusedUnstarted) }, job.Refused},
-		{"abandoned here, may have run", func(a *Node) { a.front.end(hold(a), mayHaveRun) }, job.Expired},
+		{"refused here, nothing started", func(a *Node) { a.front.end(openAndAnnounce(a), refusedUnstarted) }, job.Refused},
+		{"abandoned here, may have run", func(a *Node) { a.front.end(openAndAnnounce(a), mayHaveRun) }, job.Expired},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			a, b := pairOf(t)
 			s.earlier(a)
-			open := hold(b)
-			eventually(c, func() bool { return knows(a) })
+			open := openAndAnnounce(b)
+			eventually(c, func() bool { return knowsOpenJob(a) })
 			answer := submitLater(context.Background(), a)
 			eventually(c, func() bool { return waiters(b, open) == 2 })
 			b.front.end(open, refusedUnstarted)
@@ -61,11 +61,11 @@
 			c := qt.New(t)
 			a, b := pairOf(t)
 			o := makeOwner(a, "z")
-			open := hold(b)
-			eventually(c, func() bool { return knows(a) })
+			open := openAndAnnounce(b)
+			eventually(c, func() bool { return knowsOpenJob(a) })
 			answer := make(chan job.Outcome, 1)
 			go func() {
-				answer <- a.front.follow(context.Background(), sending(a), attempt{epoch: s.epoch})
+				answer <- a.front.follow(context.Background(), submission(a), attempt{epoch: s.epoch})
 			}()
 			eventually(c, func() bool { return o.busy() })
 			o.release("test")
@@ -85,9 +85,9 @@
 		earlier  job.Outcome
 		want     job.Kind
 	}{
-		{"refused, nothing started", hold, refusedUnstarted, job.Refused},
-		{"may have run", hold, mayHaveRun, job.Expired},
-		{"may have run, not announced to peers", holdUnannounced, mayHaveRun, job.Expired},
+		{"refused, nothing started", openAndAnnounce, refusedUnstarted, job.Refused},
+		{"may have run", openAndAnnounce, mayHaveRun, job.Expired},
+		{"may have run, not announced to peers", openUnannounced, mayHaveRun, job.Expired},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -101,7 +101,7 @@
 			}()
 			a.front.end(s.hold(a), s.earlier)
 			time.Sleep(a.settleTime())
-			again := sending(a)
+			again := submission(a)
 			again.Steps[0].Estimate = time.Second
 			again.Deadline = again.Received + 100*time.Millisecond // too short, so that its owner refuses it
 			c.Assert(a.Submit(context.Background(), again).Kind, qt.Equals, s.want)
@@ -116,18 +116,18 @@
 		want     job.Kind
 	}{
 		{"not submitted here", func(*qt.C, *Node, *Node) {}, job.Refused},
-		{"refused here, nothing started", func(_ *qt.C, a, _ *Node) { a.front.end(hold(a), refusedUnstarted) }, job.Refused},
-		{"abandoned here, may have run", func(_ *qt.C, a, _ *Node) { a.front.end(hold(a), mayHaveRun) }, job.Expired},
-		{"abandoned here before it was announced, may have run", func(_ *qt.C, a, _ *Node) { a.front.end(holdUnannounced(a), mayHaveRun) }, job.Expired},
-		{"abandoned here before it was announced, nothing started", func(_ *qt.C, a, _ *Node) { a.front.end(holdUnannounced(a), leftUnstarted) }, job.Refused},
-		{"refused here before it was announced, nothing started", func(_ *qt.C, a, _ *Node) { a.front.end(holdUnannounced(a), refusedUnstarted) }, job.Refused},
-		{"has ended here", func(_ *qt.C, a, _ *Node) { a.front.end(hold(a), completed) }, job.Completed},
+		{"refused here, nothing started", func(_ *qt.C, a, _ *Node) { a.front.end(openAndAnnounce(a), refusedUnstarted) }, job.Refused},
+		{"abandoned here, may have run", func(_ *qt.C, a, _ *Node) { a.front.end(openAndAnnounce(a), mayHaveRun) }, job.Expired},
+		{"abandoned here before it was announced, may have run", func(_ *qt.C, a, _ *Node) { a.front.end(openUnannounced(a), mayHaveRun) }, job.Expired},
+		{"abandoned here before it was announced, nothing started", func(_ *qt.C, a, _ *Node) { a.front.end(openUnannounced(a), leftUnstarted) }, job.Refused},
+		{"refused here before it was announced, nothing started", func(_ *qt.C, a, _ *Node) { a.front.end(openUnannounced(a), refusedUnstarted) }, job.Refused},
+		{"has ended here", func(_ *qt.C, a, _ *Node) { a.front.end(openAndAnnounce(a), completed) }, job.Completed},
 		{"open elsewhere", func(c *qt.C, a, b *Node) {
-			hold(b)
-			eventually(c, func() bool { return knows(a) })
+			openAndAnnounce(b)
+			eventually(c, func() bool { return knowsOpenJob(a) })
 		}, job.Expired},
 		{"open here", func(c *qt.C, a, _ *Node) {
-			open := hold(a)
+			open := openAndAnnounce(a)
 			go func() {
 				for waiters(a, open) < 2 {
 					time.Sleep(time.Millisecond)
@@ -142,7 +142,7 @@
 			a, b := pairOf(t)
 			s.earlier(c, a, b)
 			a.front.stopsAt.Store(int64(a.Clock.Now()))
-			c.Assert(a.Submit(context.Background(), sending(a)).Kind, qt.Equals, s.want)
+			c.Assert(a.Submit(context.Background(), submission(a)).Kind, qt.Equals, s.want)
 		})
 	}
 }
@@ -163,9 +163,9 @@
 			c := qt.New(t)
 			a, _ := pairOf(t)
 			o := makeOwner(a, "z")
-			open := hold(a)
+			open := openAndAnnounce(a)
 			a.front.stopsAt.Store(int64(a.Clock.Now()))
-			a.front.giveUpOpen()
+			a.front.abandonOpenJobs()
 			answer := submitLater(context.Background(), a)
 			eventually(c, func() bool { return waiters(a, open) == 2 })
 			a.front.end(open, abandoned(open.ctx, s.started))
@@ -175,11 +175,11 @@
 	}
 }
 
-// holdUnannounced makes a node hold a job open that is too recent to be announced to peers.
-func holdUnannounced(n *Node) *openJob {
-	open, _ := n.front.enter(sending(n))
-	n.openNews.opened(open.job)
-	n.front.markCarried(open)
+// openUnannounced makes a node hold a job open that is too recent to be announced to peers.
+func openUnannounced(n *Node) *openJob {
+	open, _ := n.front.enter(submission(n))
+	n.openJobTable.add(open.job)
+	n.front.markFollowed(open)
 	return open
 }
 
--- a/pkg/node/relaying.go
+++ b/pkg/node/relaying.go
@@ -20,7 +20,7 @@
 	}
 	own := n.readerRank(n.settings.Name, n.settings.PeerAddress)
 	for _, peer := range n.members.View(n.inc).Domain() {
-		if n.storeless[peer.Address] || !hubs.IsHub(peer.Address, peer.Domain) {
+		if n.storeUnreachable[peer.Address] || !hubs.IsHub(peer.Address, peer.Domain) {
 			continue
 		}
 		if n.readerRank(peer.Name, peer.Address).before(own) {
@@ -51,7 +51,7 @@
 
 // readerRank returns the rank of a node of the domain. n.mu is held.
 func (n *Node) readerRank(name, address string) readerRank {
-	linkMbps := n.rows[name].Capacity.LinkMbps
+	linkMbps := n.memberRows[name].Capacity.LinkMbps
 	if address == n.settings.PeerAddress {
 		linkMbps = n.settings.LinkMbps // its row may not be written yet
 	}
@@ -71,17 +71,17 @@
 func (n *Node) relayChanges(since uint64) {
 	now := n.Clock.Now()
 	changed := n.roster.Revision() != since
-	if !changed && now < n.toldAt+confirmInterval {
+	if !changed && now < n.listRelayedAt+confirmInterval {
 		return
 	}
 	if n.inLargeDomain() && !n.readsForDomain() {
 		return // the others fetch a revision that the reader's heartbeats announce
 	}
-	n.toldAt = now
+	n.listRelayedAt = now
 	if since == 0 {
 		since = n.roster.Revision() // a first read says nothing about changes
 	}
-	m := toPassed(n.roster.Since(since))
+	m := toRelayedList(n.roster.Since(since))
 	for _, address := range n.domainPeers() {
 		if link := n.links.Link(address); link != nil {
 			link.Send(&peerpb.Message{Body: &peerpb.Message_Snapshot{Snapshot: m}}, 0)
@@ -110,7 +110,7 @@
 	}
 	own := n.readerRank(n.settings.Name, n.settings.PeerAddress)
 	before := 0
-	for _, row := range n.rows {
+	for _, row := range n.memberRows {
 		if row.Domain == n.settings.Domain && n.readerRank(row.Name, row.PeerAddress).before(own) {
 			before++
 		}
@@ -124,8 +124,8 @@
 	return n.members.IsLarge()
 }
 
-// noticeHub updates whether this node is a hub of its domain.
-func (n *Node) noticeHub() {
+// updateHub updates whether this node is a hub of its domain.
+func (n *Node) updateHub() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.isHub.Store(n.members.IsHub(n.settings.PeerAddress, n.settings.Domain, n.Clock.Now()))
@@ -136,8 +136,8 @@
 // reading because this node takes precedence.
 func (n *Node) updateReader() {
 	reads := n.readsForDomain()
-	if before := n.readsList.Swap(reads); reads && !before {
-		n.askForList()
+	if before := n.isListReader.Swap(reads); reads && !before {
+		n.requestList()
 	}
 }
 
@@ -148,7 +148,7 @@
 // readsNow reports whether this node is the reader of its domain and its list is recent.
 func (n *Node) readsNow() bool {
 	current := n.executors.Load()
-	return current != nil && n.Clock.Now() < current.askedAt+maxConfirmedAge && n.readsList.Load()
+	return current != nil && n.Clock.Now() < current.askedAt+maxConfirmedAge && n.isListReader.Load()
 }
 
 // domainPeers returns the addresses of the reachable peers of the same domain.
@@ -171,14 +171,14 @@
 
 // handleRelayed applies changes of executors that a peer relayed.
 func (n *Node) handleRelayed(m *peerpb.Snapshot, from string) {
-	if m.Kind != newsExecutors || m.Revision == 0 {
+	if m.Kind != snapshotExecutors || m.Revision == 0 {
 		return
 	}
-	relayed := fromPassed(m)
+	relayed := fromRelayedList(m)
 	n.listing.Lock()
 	changed, missing := n.roster.ApplyRelayed(relayed)
 	if changed {
-		askedAt := time.Duration(unknownAge)
+		askedAt := time.Duration(unknownReadTime)
 		if current := n.executors.Load(); current != nil {
 			askedAt = current.askedAt
 		}
@@ -190,9 +190,9 @@
 	}
 	switch {
 	case missing:
-		n.startFetch(from, newsExecutors)
+		n.startFetch(from, snapshotExecutors)
 	case n.inOwnDomain(from):
-		n.passedAt.Store(int64(n.Clock.Now()))
+		n.listConfirmedByPeerAt.Store(int64(n.Clock.Now()))
 	}
 }
 
@@ -202,9 +202,9 @@
 	relayed := n.roster.Since(revision)
 	n.listing.Unlock()
 	if relayed == nil {
-		return &peerpb.Snapshot{Kind: newsExecutors}
+		return &peerpb.Snapshot{Kind: snapshotExecutors}
 	}
-	m := toPassed(relayed)
+	m := toRelayedList(relayed)
 	if current := n.executors.Load(); current != nil {
 		m.AgeMs = (n.Clock.Now() - current.askedAt).Milliseconds()
 	}
--- a/pkg/node/relaying_test.go
+++ b/pkg/node/relaying_test.go
@@ -22,7 +22,7 @@
 func newNodeWithPeer(c *qt.C, domain string, ownMbps, otherMbps float64) *Node {
 	n := newTestNode(c, &fakeStore{})
 	n.settings.LinkMbps = ownMbps
-	n.rows = map[string]Member{
+	n.memberRows = map[string]Member{
 		"a": {Name: "a", Domain: "z", PeerAddress: n.settings.PeerAddress, Capacity: ownership.Capacity{LinkMbps: ownMbps}},
 		"b": {Name: "b", Domain: domain, PeerAddress: otherAddress, Capacity: ownership.Capacity{LinkMbps: otherMbps}},
 	}
@@ -56,9 +56,9 @@
 			if s.ownsCell {
 				n.claims.SetClaims(n.settings.PeerAddress, []ownership.Claim{{Cell: "z", Token: 1}})
 			}
-			n.storeless[otherAddress] = s.storeless
+			n.storeUnreachable[otherAddress] = s.storeless
 			if s.rowless {
-				delete(n.rows, "a")
+				delete(n.memberRows, "a")
 			}
 			c.Assert(n.readsForDomain(), qt.Equals, s.want)
 		})
@@ -86,7 +86,7 @@
 			n := newNodeWithPeer(c, "z", s.ownMbps, 25)
 			n.roster.ApplyFull(&catalog.Executors{Revision: 1}, 0)
 			n.publish(true, n.Clock.Now()-time.Hour)
-			n.passedAt.Store(int64(n.Clock.Now() - s.confirmedAgo))
+			n.listConfirmedByPeerAt.Store(int64(n.Clock.Now() - s.confirmedAgo))
 			if s.claimed {
 				n.owners["z"] = newOwner(n, "z", 1, n.Clock.Now())
 			}
@@ -109,7 +109,7 @@
 	c.Assert(n.roster.Executors().ByID, qt.HasLen, 1)
 	c.Assert(n.roster.Executors().ByID["f"].ID, qt.Equals, "f")
 
-	n.handleRelayed(&peerpb.Snapshot{Kind: newsExecutors}, otherAddress)
+	n.handleRelayed(&peerpb.Snapshot{Kind: snapshotExecutors}, otherAddress)
 	c.Assert(n.executorsRevision(), qt.Equals, uint64(20), qt.Commentf("a peer without a list changes nothing"))
 }
 
@@ -129,8 +129,8 @@
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			n := newTestNode(c, &fakeStore{})
-			n.storeFails.Store(s.executorsFail)
-			n.operatorFails.Store(s.operatorFails)
+			n.listReadFails.Store(s.executorsFail)
+			n.operatorReadFails.Store(s.operatorFails)
 			c.Assert(n.Heartbeat().StoreFails, qt.Equals, s.want)
 		})
 	}
@@ -191,7 +191,7 @@
 	c.Assert(hub.readsForDomain(), qt.IsTrue)
 	c.Assert(other.readsForDomain(), qt.IsFalse)
 	other.settings.Weight = 800
-	c.Assert(other.ownershipView().Self.Weight, qt.Equals, sideWeight)
+	c.Assert(other.ownershipView().Self.Weight, qt.Equals, nonHubWeight)
 }
 
 // Guards against nodes reading the store when the reader sends heartbeats but no changes.
@@ -212,7 +212,7 @@
 	n := newNodeWithPeer(c, "z", 25, 200)
 	requested := func() bool {
 		select {
-		case <-n.claimed:
+		case <-n.listRequested:
 			return true
 		default:
 			return false
@@ -254,9 +254,9 @@
 			n := largeDomain(c, s.own)
 			const owner = "58:1"
 			n.claims.SetClaims(owner, []ownership.Claim{{Cell: "z", Token: 1, Load: ownership.Load{Ready: true, CapacityCPU: 1, FreeCPU: 1}}})
-			n.noticeHub()
+			n.updateHub()
 			if s.job {
-				defer n.front.noteDispatch(owner)()
+				defer n.front.recordDispatch(owner)()
 			}
 			c.Assert(n.Slowdown(owner), qt.Equals, s.want)
 		})
--- a/pkg/node/reload.go
+++ b/pkg/node/reload.go
@@ -11,7 +11,7 @@
 		return
 	}
 	n.mu.Lock()
-	n.members.AddAddresses(without(s.Seeds, n.settings.PeerAddress), n.Clock.Now())
+	n.members.AddAddresses(excludeAddress(s.Seeds, n.settings.PeerAddress), n.Clock.Now())
 	n.mu.Unlock()
 	n.refreshLinks()
 	n.Log.Info("settings_reloaded", "seeds", len(s.Seeds))
--- a/pkg/node/renewals.go
+++ b/pkg/node/renewals.go
@@ -71,8 +71,8 @@
 	delete(r.timestamps, address)
 }
 
-// sure returns the newest confirmed timestamp of an owner, or nil.
-func (r *renewals) sure(address string) *peerpb.Moment {
+// confirmed returns the newest confirmed timestamp of an owner, or nil.
+func (r *renewals) confirmed(address string) *peerpb.Moment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if m := r.timestamps[address]; m != nil {
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// sureHere returns the confirmed time for the cells of this host.
-func (r *renewals) sureHere() time.Duration {
+// confirmedHere returns the confirmed time for the cells of this host.
+func (r *renewals) confirmedHere() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.confirmedLocal
@@ -122,7 +122,7 @@
 func (r *renewals) wasPausedUntil(now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now > r.polledAt+longestGap
+	return now > r.polledAt+maxTickGap
 }
 
 // recordGap records the time since the last poll, and reports whether this process counts as
@@ -132,7 +132,7 @@
 	case gap <= maxPollGap:
 		r.gaps = 0
 		return false
-	case gap > longestGap:
+	case gap > maxTickGap:
 		r.gaps = 1
 		return true
 	}
@@ -140,8 +140,8 @@
 	return r.gaps <= maxConsecutiveGaps
 }
 
-// takeMoment records the timestamp of an owner that came with a reply.
-func (n *Node) takeMoment(address string, reply *peerpb.Message) {
+// recordTimestamp records the timestamp of an owner that came with a reply.
+func (n *Node) recordTimestamp(address string, reply *peerpb.Message) {
 	if reply.Moment != nil {
 		n.renewals.record(address, reply.Moment)
 	}
@@ -151,13 +151,13 @@
 // cells and at other owners.
 func (n *Node) renewJobs(now time.Duration) {
 	if n.renewals.wasPausedUntil(now) {
-		n.openNews.back(now)
+		n.openJobTable.markResumed(now)
 	}
 	due := n.renewals.poll(now)
 	if due == nil {
 		return
 	}
-	confirmed := n.renewals.sureHere()
+	confirmed := n.renewals.confirmedHere()
 	for _, o := range n.allOwners() {
 		o.renew(nil, confirmed)
 	}
@@ -168,15 +168,15 @@
 	}
 }
 
-// moment returns the current timestamp of this process, which peers return in renewals.
-func (n *Node) moment() *peerpb.Moment {
+// timestamp returns the current timestamp of this process, which peers return in renewals.
+func (n *Node) timestamp() *peerpb.Moment {
 	return &peerpb.Moment{Incarnation: n.inc[:], AtUs: n.Clock.Now().Microseconds()}
 }
 
-// withMoment adds the timestamp of this process to a reply. Outcomes carry it too, because
+// withTimestamp adds the timestamp of this process to a reply. Outcomes carry it too, because
 // replies to heartbeats are late on a congested link.
-func (n *Node) withMoment(m *peerpb.Message) *peerpb.Message {
-	m.Moment = n.moment()
+func (n *Node) withTimestamp(m *peerpb.Message) *peerpb.Message {
+	m.Moment = n.timestamp()
 	return m
 }
 
--- a/pkg/node/renewals_test.go
+++ b/pkg/node/renewals_test.go
@@ -25,31 +25,31 @@
 	r.poll(now)
 	c.Assert(poll(renewInterval), qt.HasLen, 0)
 	confirmed := now - renewInterval
-	c.Assert(r.sureHere(), qt.Equals, confirmed)
+	c.Assert(r.confirmedHere(), qt.Equals, confirmed)
 	r.record("owner", early)
 	c.Assert(poll(2*time.Second), qt.HasLen, 0, qt.Commentf("paused"))
 	r.record("owner", late)
 	c.Assert(poll(renewInterval/2), qt.IsNil, qt.Commentf("too soon"))
 	c.Assert(poll(maxPollGap+renewInterval), qt.HasLen, 0, qt.Commentf("paused again"))
-	c.Assert(r.sureHere(), qt.Equals, confirmed)
+	c.Assert(r.confirmedHere(), qt.Equals, confirmed)
 	c.Assert(poll(renewInterval), qt.HasLen, 0, qt.Commentf("one poll without a gap"))
-	c.Assert(r.sureHere(), qt.Equals, now-renewInterval)
-	c.Assert(r.sure("owner"), qt.IsNil)
+	c.Assert(r.confirmedHere(), qt.Equals, now-renewInterval)
+	c.Assert(r.confirmed("owner"), qt.IsNil)
 	c.Assert(poll(renewInterval)["owner"], qt.Equals, late)
-	c.Assert(r.sure("owner"), qt.Equals, late)
+	c.Assert(r.confirmed("owner"), qt.Equals, late)
 	c.Assert(poll(renewInterval), qt.HasLen, 0, qt.Commentf("no newer timestamp"))
-	c.Assert(r.sure("owner"), qt.Equals, late)
+	c.Assert(r.confirmed("owner"), qt.Equals, late)
 	r.forget("owner")
-	c.Assert(r.sure("owner"), qt.IsNil)
+	c.Assert(r.confirmed("owner"), qt.IsNil)
 }
 
 func TestTimestampsOfOtherProcessesAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, &fakeStore{})
-	c.Assert(n.timeOf(n.moment()) > 0, qt.IsTrue)
+	c.Assert(n.timeOf(n.timestamp()) > 0, qt.IsTrue)
 	c.Assert(n.timeOf(nil), qt.Equals, time.Duration(0))
 	c.Assert(n.timeOf(&peerpb.Moment{Incarnation: []byte{7}, AtUs: 1}), qt.Equals, time.Duration(0))
-	ahead := n.moment()
+	ahead := n.timestamp()
 	ahead.AtUs += time.Hour.Microseconds()
 	c.Assert(n.timeOf(ahead) <= n.Clock.Now(), qt.IsTrue)
 }
@@ -86,7 +86,7 @@
 	r.poll(now)
 	now += 300 * time.Millisecond // paused again at once
 	c.Assert(r.poll(now), qt.HasLen, 0, qt.Commentf("it has not run for renewInterval since it read the timestamp"))
-	c.Assert(r.sureHere() <= before, qt.IsTrue, qt.Commentf("own cells: %s", r.sureHere()))
+	c.Assert(r.confirmedHere() <= before, qt.IsTrue, qt.Commentf("own cells: %s", r.confirmedHere()))
 }
 
 // Guards against a host whose every poll counts as a pause, so that it never renews a lease.
@@ -99,8 +99,8 @@
 		r.record("owner", &peerpb.Moment{AtUs: now.Microseconds()})
 		r.poll(now)
 	}
-	c.Assert(now-r.sureHere() < 10*maxPollGap, qt.IsTrue)
-	c.Assert(now-microseconds(r.sure("owner").AtUs) < 20*maxPollGap, qt.IsTrue)
+	c.Assert(now-r.confirmedHere() < 10*maxPollGap, qt.IsTrue)
+	c.Assert(now-microseconds(r.confirmed("owner").AtUs) < 20*maxPollGap, qt.IsTrue)
 }
 
 // A front that has lost an owner waits until the job's lease there is over and executors have
@@ -130,7 +130,7 @@
 	}
 	for range 40 {
 		clock.At += 50 * time.Millisecond
-		n.onRenew(front, &peerpb.Renew{AsOf: n.moment()})
+		n.onRenew(front, &peerpb.Renew{AsOf: n.timestamp()})
 		n.renewJobs(clock.At)
 		o.tick()
 	}
@@ -150,11 +150,11 @@
 	r.record("owner", reply) // 0.8 s late
 	poll()
 	poll()
-	c.Assert(r.sure("owner"), qt.Equals, outcome)
+	c.Assert(r.confirmed("owner"), qt.Equals, outcome)
 	r.record("owner", reply)
 	poll()
 	poll()
-	c.Assert(r.sure("owner"), qt.Equals, outcome)
+	c.Assert(r.confirmed("owner"), qt.Equals, outcome)
 }
 
 // A host that polls slightly less often than every maxPollGap is slow, not paused, and has to
@@ -168,6 +168,6 @@
 		r.record("owner", &peerpb.Moment{AtUs: now.Microseconds()})
 		r.poll(now)
 	}
-	c.Assert(r.sureHere() > now-850*time.Millisecond, qt.IsTrue, qt.Commentf("own cells: %s at %s", r.sureHere(), now))
-	c.Assert(r.sure("owner"), qt.IsNotNil)
+	c.Assert(r.confirmedHere() > now-850*time.Millisecond, qt.IsTrue, qt.Commentf("own cells: %s at %s", r.confirmedHere(), now))
+	c.Assert(r.confirmed("owner"), qt.IsNotNil)
 }
--- a/pkg/node/rows.go
+++ b/pkg/node/rows.go
@@ -38,12 +38,12 @@
 		up[host.Address] = true
 	}
 	var stale []string
-	for name, row := range n.rows {
-		_, known := n.lastSeen[name]
+	for name, row := range n.memberRows {
+		_, known := n.lastReachable[name]
 		if up[row.PeerAddress] || !known {
-			n.lastSeen[name] = now
+			n.lastReachable[name] = now
 		}
-		if row.Domain == n.settings.Domain && now > n.lastSeen[name]+rowExpiry {
+		if row.Domain == n.settings.Domain && now > n.lastReachable[name]+rowExpiry {
 			stale = append(stale, name)
 		}
 	}
--- a/pkg/node/rows_changes_test.go
+++ b/pkg/node/rows_changes_test.go
@@ -16,5 +16,5 @@
 		byName[row.Name] = row
 	}
 	c.Assert(byName, qt.DeepEquals, map[string]Member{"b": {Name: "b", Domain: "y"}, "c": {Name: "c"}})
-	c.Assert(n.rows, qt.HasLen, 2, qt.Commentf("only setRows changes them"))
+	c.Assert(n.memberRows, qt.HasLen, 2, qt.Commentf("only setRows changes them"))
 }
--- a/pkg/node/rows_test.go
+++ b/pkg/node/rows_test.go
@@ -29,7 +29,7 @@
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			n := newTestNode(c, &fakeStore{})
-			n.rows = map[string]Member{"gone": {Name: "gone", Domain: s.domain, PeerAddress: "127.0.0.9:1"}}
+			n.memberRows = map[string]Member{"gone": {Name: "gone", Domain: s.domain, PeerAddress: "127.0.0.9:1"}}
 			n.members.SetListed([]member.ListedHost{{Name: "gone", Domain: s.domain, Address: "127.0.0.9:1"}, {Name: "b", Domain: "z", Address: "127.0.0.2:1"}})
 			if !s.alone {
 				n.members.LinkUp(member.Peer{Name: "b", Domain: "z", Address: "127.0.0.2:1", Incarnation: once.Incarnation{2}})
--- a/pkg/node/sizes.go
+++ b/pkg/node/sizes.go
@@ -47,11 +47,11 @@
 	include := func(domain string, host ownership.Capacity) {
 		sizes.byDomain[domain] = max(sizes.byDomain[domain], ownership.CellSize(host))
 	}
-	for _, row := range n.rows {
+	for _, row := range n.memberRows {
 		include(row.Domain, row.Capacity)
 	}
 	for _, peer := range n.members.View(n.inc).Peers {
-		if _, listed := n.rows[peer.Name]; !listed {
+		if _, listed := n.memberRows[peer.Name]; !listed {
 			include(peer.Domain, ownership.Capacity{CPU: peer.Weight, LinkMbps: n.settings.LinkMbps})
 		}
 	}
--- a/pkg/node/snapshots.go
+++ b/pkg/node/snapshots.go
@@ -13,8 +13,8 @@
 
 // The kinds of snapshots that nodes relay.
 const (
-	newsConfiguration uint32 = iota + 1
-	newsExecutors
+	snapshotConfiguration uint32 = iota + 1
+	snapshotExecutors
 )
 
 // Timeouts and intervals of reading the store, which all nodes share.
@@ -33,17 +33,17 @@
 	peerFetchTimeout  = time.Second
 )
 
-// inForce is the configuration in force.
-type inForce struct {
+// activeConfiguration is the configuration in force.
+type activeConfiguration struct {
 	snapshot Snapshot
 	position uint64 // in the store's history
 	parsed   *catalog.Configuration
 	packed   func() ([]byte, error) // the compressed body, for peers
 }
 
-// runNews keeps the configuration, the rows of the hosts and the list of executors up to
+// runStoreReaders keeps the configuration, the rows of the hosts and the list of executors up to
 // date with the store until ctx ends.
-func (n *Node) runNews(ctx context.Context) {
+func (n *Node) runStoreReaders(ctx context.Context) {
 	go n.followOperator(ctx)
 	go n.followMembers(ctx)
 	n.awaitRows(ctx)
@@ -53,7 +53,7 @@
 func (n *Node) followOperator(ctx context.Context) {
 	n.follow(ctx, followedTable{
 		name: "operator", read: n.readOperator, await: n.awaitOperator,
-		relayed: n.configurationIsRelayed, relayedPosition: n.operatorPosition, failing: &n.operatorFails,
+		relayed: n.configurationIsRelayed, relayedPosition: n.operatorPosition, failing: &n.operatorReadFails,
 	})
 }
 
@@ -124,8 +124,8 @@
 	}
 	position := snapshot.Revision
 	snapshot.Revision = parsed.Version
-	next := &inForce{snapshot: snapshot, position: position, parsed: parsed, packed: sync.OnceValues(func() ([]byte, error) { return pack(snapshot.Body) })}
-	var current *inForce
+	next := &activeConfiguration{snapshot: snapshot, position: position, parsed: parsed, packed: sync.OnceValues(func() ([]byte, error) { return pack(snapshot.Body) })}
+	var current *activeConfiguration
 	for {
 		current = n.configuration.Load()
 		if current != nil && current.parsed.Version >= parsed.Version {
@@ -139,7 +139,7 @@
 	if current == nil || !parsed.SameServices(current.parsed) {
 		n.servicesChanged()
 	}
-	n.heartbeats.outdate()
+	n.heartbeats.invalidate()
 	n.links.Nudge()
 }
 
@@ -195,7 +195,7 @@
 func (n *Node) membersPause() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return membersPauseFor(len(n.rows))
+	return membersPauseFor(len(n.memberRows))
 }
 
 func membersPauseFor(hosts int) time.Duration {
@@ -228,15 +228,15 @@
 func (n *Node) fetchNewer(address string, heartbeat *peerpb.Heartbeat) {
 	if current := n.configuration.Load(); current == nil || heartbeat.Version > current.snapshot.Revision {
 		if heartbeat.Version > 0 {
-			n.startFetch(address, newsConfiguration)
+			n.startFetch(address, snapshotConfiguration)
 		}
 	}
 	current := n.executors.Load()
 	stale := current == nil && heartbeat.ExecutorsRevision > 0
 	newer := current != nil && heartbeat.ExecutorsRevision > current.revision
 	// Revisions of other domains' readers are not comparable with those of this domain.
-	if stale || newer && (n.storeFails.Load() || n.inOwnDomain(address)) {
-		n.startFetch(address, newsExecutors)
+	if stale || newer && (n.listReadFails.Load() || n.inOwnDomain(address)) {
+		n.startFetch(address, snapshotExecutors)
 	}
 }
 
@@ -264,7 +264,7 @@
 	if err != nil || m == nil {
 		return
 	}
-	if kind == newsConfiguration {
+	if kind == snapshotConfiguration {
 		n.applyPackedConfiguration(m, address)
 		return
 	}
@@ -275,7 +275,7 @@
 // another type.
 func (n *Node) fetchSnapshot(ctx context.Context, link *peer.Link, kind uint32) (*peerpb.Snapshot, error) {
 	fetch := &peerpb.FetchSnapshot{Kind: kind}
-	if kind == newsExecutors {
+	if kind == snapshotExecutors {
 		fetch.Since = n.executorsRevision()
 	}
 	response, err := link.Call(ctx, &peerpb.Message{Body: &peerpb.Message_FetchSnapshot{FetchSnapshot: fetch}}, 0)
@@ -293,12 +293,12 @@
 }
 
 func (n *Node) onFetchSnapshot(m *peerpb.FetchSnapshot, reply peer.Reply) {
-	if m.Kind == newsExecutors {
+	if m.Kind == snapshotExecutors {
 		reply(&peerpb.Message{Body: &peerpb.Message_Snapshot{Snapshot: n.executorsSince(m.Since)}}, 0)
 		return
 	}
 	snapshot := &peerpb.Snapshot{Kind: m.Kind}
-	if current := n.configuration.Load(); m.Kind == newsConfiguration && current != nil {
+	if current := n.configuration.Load(); m.Kind == snapshotConfiguration && current != nil {
 		body, err := current.packed()
 		if err != nil {
 			n.Log.Error("configuration_not_packed", "version", current.snapshot.Revision, "error", err.Error())
--- a/pkg/node/snapshots_test.go
+++ b/pkg/node/snapshots_test.go
@@ -142,7 +142,7 @@
 
 	store.silent.Store(true)
 	store.version.Store(2)
-	n.claimed <- struct{}{} // have the executors read, which fails
+	n.listRequested <- struct{}{} // have the executors read, which fails
 	time.Sleep(20 * time.Millisecond)
 	store.silent.Store(false)
 	eventually(c, func() bool { return versionOf(n) == 2 })
--- a/pkg/node/stop.go
+++ b/pkg/node/stop.go
@@ -27,10 +27,10 @@
 	n.front.stopsAt.Store(int64(jobsLimit))
 	n.leaving.Store(true)
 	n.viewVersion.Add(1)
-	n.heartbeats.outdate()
+	n.heartbeats.invalidate()
 	n.links.Nudge()
 	n.awaitDrained(min(begin+balancerDelay, jobsLimit), jobsLimit)
-	n.front.giveUpOpen()
+	n.front.abandonOpenJobs()
 	n.closeServers(limit - n.Clock.Now())
 	n.withdrawRow()
 	for _, o := range n.allOwners() {
--- a/pkg/node/stop_test.go
+++ b/pkg/node/stop_test.go
@@ -40,7 +40,7 @@
 					for n.openJobs() == 0 {
 						time.Sleep(time.Millisecond)
 					}
-					n.front.giveUpOpen()
+					n.front.abandonOpenJobs()
 				}()
 			}
 			outcome := n.front.submit(context.Background(), j)
--- a/pkg/node/unreadable.go
+++ b/pkg/node/unreadable.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// noteAnswer counts the unreadable entries of a hold response. The cell logs when an
+// countUnreadableEntries counts the unreadable entries of a hold response. The cell logs when an
 // executor begins to report unreadable runs.
-func (n *Node) noteAnswer(response cell.HoldResponse) {
+func (n *Node) countUnreadableEntries(response cell.HoldResponse) {
 	if response.UnreadableRuns > 0 {
 		n.metrics.RowsUnreadable(tableOfHoldResponses, string(catalog.HiddenRun), response.UnreadableRuns)
 	}
--- a/pkg/node/unreadable_test.go
+++ b/pkg/node/unreadable_test.go
@@ -134,7 +134,7 @@
 	n.store = &oddStore{}
 	_, err := n.readMembers(context.Background())
 	c.Assert(err, qt.IsNil)
-	c.Assert(n.rows, qt.HasLen, 1)
+	c.Assert(n.memberRows, qt.HasLen, 1)
 	c.Assert(n.readAllExecutors(context.Background(), time.Second, false), qt.IsNil)
 	c.Assert(capacities(n), qt.DeepEquals, map[string]int64{"a": 1000})
 }
@@ -157,9 +157,9 @@
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			n := newNodeWithPeer(c, "z", 1, 1)
-			delete(n.rows, "a")
+			delete(n.memberRows, "a")
 			c.Assert(n.affectsRows(s.changes), qt.Equals, s.want)
-			_, listed := n.rows["b"]
+			_, listed := n.memberRows["b"]
 			c.Assert(listed, qt.IsTrue)
 		})
 	}
--- a/pkg/node/view.go
+++ b/pkg/node/view.go
@@ -23,19 +23,19 @@
 		known[address] = true
 	}
 	view.Expected = len(known)
-	view.Restarted = n.back
+	view.Restarted = n.restarted
 	view.RowsRead = n.rowsRead
 	return view
 }
 
-// sideWeight is the weight of the hosts of a large domain that are no hubs: hubs own
+// nonHubWeight is the weight of the hosts of a large domain that are no hubs: hubs own
 // cells before them.
-const sideWeight = 1
+const nonHubWeight = 1
 
 // weightOf returns the weight with which a host may own cells.
 func weightOf(host ownership.Host, hubs member.HubSnapshot) int {
 	if hubs.IsHub(host.Address, host.Domain) {
 		return host.Weight
 	}
-	return sideWeight
+	return nonHubWeight
 }
