--- a/pkg/member/hubs.go
+++ b/pkg/member/hubs.go
@@ -117,7 +117,7 @@
 	return slices.ContainsFunc(first, func(host ListedHost) bool { return host.Address == address })
 }
 
-// IsHub is HubTest.IsHub for a single call.
+// IsHub is HubSnapshot.IsHub for a single call.
 func (t *Table) IsHub(address, domain string, now time.Duration) bool {
 	return t.HubSnapshot(now).IsHub(address, domain)
 }
--- a/pkg/metrics/node.go
+++ b/pkg/metrics/node.go
@@ -127,7 +127,7 @@
 	n.response.Record(context.Background(), took.Seconds(), n.labels.pair("route", route, "outcome", outcome))
 }
 
-// CommandAnswered counts an order to an executor.
+// CommandAnswered counts a command that an executor has answered.
 func (n *Node) CommandAnswered(kind, verdict string) {
 	n.orders.Add(context.Background(), 1, n.labels.pair("kind", kind, "verdict", verdict))
 }
--- a/pkg/node/attempt.go
+++ b/pkg/node/attempt.go
@@ -31,13 +31,13 @@
 	progress      []job.Progress
 	started       bool
 	formerCell    string        // cell of a former owner, where runs of the job may still be alive
-	notBefore     time.Duration // runs in lostCell have ended by then
+	notBefore     time.Duration // runs in formerCell have ended by then
 	preferredCell string        // cell to try first, once; empty when none
 }
 
 // recordMoved records that an owner has returned the job. Its runs go on in the cell, where
 // the next owner adopts them.
-func (a *attempt) recordMoved(cellName string, outcome job.Outcome, settleAt time.Duration) {
+func (a *attempt) recordMoved(cellName string, outcome job.Outcome, notBefore time.Duration) {
 	if outcome.Reason == reasonNotOwner {
 		return // the job was not accepted there
 	}
@@ -48,15 +48,15 @@
 		return
 	}
 	if outcome.Started {
-		a.formerCell, a.notBefore = cellName, settleAt
+		a.formerCell, a.notBefore = cellName, notBefore
 	}
 }
 
 // recordLost records that the owner of the job is unreachable.
-func (a *attempt) recordLost(cellName string, settleAt time.Duration) {
+func (a *attempt) recordLost(cellName string, notBefore time.Duration) {
 	a.started = true
 	a.progress = nil
-	a.formerCell, a.notBefore = cellName, settleAt
+	a.formerCell, a.notBefore = cellName, notBefore
 }
 
 // Reasons in outcomes of fronts and owners.
--- a/pkg/node/dispatch.go
+++ b/pkg/node/dispatch.go
@@ -14,24 +14,24 @@
 // dispatch submits a job to an owner and waits for the outcome.
 func (f *front) dispatch(ctx context.Context, j *job.Job, claim ownership.Claim, state *attempt) job.Outcome {
 	f.node.Log.Info("job_dispatched", "job", j.ID, "cell", claim.Cell, "owner", claim.Owner, "token", claim.Token, "epoch", state.epoch, "queued_work", claim.Load.QueuedWork)
-	settleAt := time.Duration(0)
+	notBefore := time.Duration(0)
 	if state.formerCell != "" && state.formerCell != claim.Cell {
-		settleAt = state.notBefore
+		notBefore = state.notBefore
 	}
 	if claim.Owner == f.node.settings.PeerAddress {
-		return f.dispatchLocal(ctx, j, claim, state, settleAt)
+		return f.dispatchLocal(ctx, j, claim, state, notBefore)
 	}
-	return f.dispatchToPeer(ctx, j, claim, state, settleAt)
+	return f.dispatchToPeer(ctx, j, claim, state, notBefore)
 }
 
-func (f *front) dispatchLocal(ctx context.Context, j *job.Job, claim ownership.Claim, state *attempt, settleAt time.Duration) job.Outcome {
+func (f *front) dispatchLocal(ctx context.Context, j *job.Job, claim ownership.Claim, state *attempt, notBefore time.Duration) job.Outcome {
 	o := f.node.owner(claim.Cell)
 	if o == nil {
 		return job.Outcome{Kind: job.Moved, Reason: reasonNotOwner}
 	}
 	done := make(chan job.Outcome, 1)
 	self := f.node.settings.PeerAddress
-	handover := cell.Handover{Job: j, Epoch: state.epoch, Progress: state.progress, NotBefore: settleAt, RenewedAt: f.node.renewals.confirmedHere()}
+	handover := cell.Handover{Job: j, Epoch: state.epoch, Progress: state.progress, NotBefore: notBefore, RenewedAt: f.node.renewals.confirmedHere()}
 	o.submit(handover, waiter{front: self, reply: func(outcome job.Outcome) { done <- outcome }})
 	select {
 	case outcome := <-done:
@@ -42,14 +42,14 @@
 	}
 }
 
-func (f *front) dispatchToPeer(ctx context.Context, j *job.Job, claim ownership.Claim, state *attempt, settleAt time.Duration) job.Outcome {
+func (f *front) dispatchToPeer(ctx context.Context, j *job.Job, claim ownership.Claim, state *attempt, notBefore time.Duration) job.Outcome {
 	link := f.node.links.Link(claim.Owner)
 	if link == nil || !link.Up() {
 		return job.Outcome{Kind: job.Moved, Reason: reasonNotOwner}
 	}
 	defer f.recordDispatch(claim.Owner)()
 	now := f.node.Clock.Now()
-	settle := max(0, settleAt-now)
+	settle := max(0, notBefore-now)
 	m := jobwire.ToDispatch(j, claim.Cell, state.epoch, state.progress, settle, now)
 	m.Renewed = f.node.renewals.confirmed(claim.Owner)
 	answer, err := link.Call(ctx, &peerpb.Message{Body: &peerpb.Message_Dispatch{Dispatch: m}}, 0)
--- a/pkg/node/follow.go
+++ b/pkg/node/follow.go
@@ -88,14 +88,14 @@
 // cancelIdleCall cancels a call when a peer begins to relay the table, or when the store
 // responds again after a failure: it may never answer a call that it received before.
 // known reports that the table need not be read in full.
-func (f *follower) cancelIdleCall(ctx context.Context, regained <-chan struct{}, known bool, cancel context.CancelFunc) {
+func (f *follower) cancelIdleCall(ctx context.Context, storeRecovered <-chan struct{}, known bool, cancel context.CancelFunc) {
 	ticker := time.NewTicker(recheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-regained:
+		case <-storeRecovered:
 			cancel()
 			return
 		case <-ticker.C:
--- a/pkg/node/front_test.go
+++ b/pkg/node/front_test.go
@@ -118,7 +118,7 @@
 	scenarios := []scenario{
 		{testName: "until its outcome would have no value", deadline: dead, target: target, want: latestA},
 		{testName: "until its deadline can't be met", deadline: 200 * time.Millisecond, target: target, want: 100 * time.Millisecond},
-		{testName: "no longer than noOwnerWait", deadline: dead, target: dead, want: maxOwnerWait},
+		{testName: "no longer than maxOwnerWait", deadline: dead, target: dead, want: maxOwnerWait},
 		{testName: "started: its deadline counts", deadline: time.Second, target: target, state: attempt{started: true}, want: time.Second},
 	}
 	for _, s := range scenarios {
--- a/pkg/node/listing.go
+++ b/pkg/node/listing.go
@@ -13,7 +13,7 @@
 	revision        uint64
 	askedAt         time.Duration  // when it was requested from the store
 	servicesChecked bool           // only executors of configured services are in it
-	steady          bool           // reads have succeeded for longer than lapseTime, so that no entry is missing
+	steady          bool           // reads have succeeded for longer than missingEntriesPeriod, so that no entry is missing
 	sizes           map[string]int // number of executors by domain
 	counts          map[string]int // number of cells by domain
 	cells           map[string][]catalog.Executor
--- a/pkg/node/members.go
+++ b/pkg/node/members.go
@@ -69,7 +69,7 @@
 	})
 }
 
-// rowsWith returns the known rows with changes applied, and leaves n.rows as it is.
+// rowsWith returns the known rows with changes applied, and leaves n.memberRows as it is.
 func (n *Node) rowsWith(changes MemberChanges) []Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -227,13 +227,13 @@
 		return
 	}
 	now := n.Clock.Now()
-	settleAt := time.Duration(0)
+	notBefore := time.Duration(0)
 	if m.SettleUs > 0 {
-		settleAt = now + microseconds(m.SettleUs)
+		notBefore = now + microseconds(m.SettleUs)
 	}
 	handover := cell.Handover{
 		Job: jobwire.FromDispatch(m, now), Epoch: int(m.Epoch), Progress: jobwire.FromProgress(m.Progress),
-		NotBefore: settleAt, RenewedAt: n.timeOf(m.Renewed),
+		NotBefore: notBefore, RenewedAt: n.timeOf(m.Renewed),
 	}
 	o.submit(handover, waiter{
 		front: from.Address, connection: from,
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -53,7 +53,7 @@
 	listReadFails         atomic.Bool  // the last read of the executor list failed
 	operatorReadFails     atomic.Bool  // the last read of the operators' changes failed
 	listReadableSince     atomic.Int64 // since when the executor list has been readable, as a time of the clock; 0 while it is not
-	listing               sync.Mutex   // guards roster, history and toldAt; held while a read of the executor list is applied
+	listing               sync.Mutex   // guards roster, history and listRelayedAt; held while a read of the executor list is applied
 	roster                *catalog.Roster
 	listRelayedAt         time.Duration // when the list was last relayed to the nodes of the domain
 	history               *catalog.History
--- a/pkg/node/openjobs.go
+++ b/pkg/node/openjobs.go
@@ -67,7 +67,7 @@
 	o.local.Add(j.ID, j.Received, j.Deadline)
 }
 
-// remove records that a job has ended at this front. The outcome is retained for keepOutcomes
+// remove records that a job has ended at this front. The outcome is retained for outcomeRetention
 // if the job was announced, so that other fronts can ask about it, or if it was given up, so
 // that a resubmission isn't taken for a job of which nothing has run. Jobs that this front
 // didn't follow have left no runs and aren't retained.
--- a/pkg/node/relaying_test.go
+++ b/pkg/node/relaying_test.go
@@ -32,20 +32,20 @@
 
 func TestReadsForDomain(t *testing.T) {
 	type scenario struct {
-		testName  string
-		domain    string // of the other node
-		ownMbps   float64
-		otherMbps float64
-		ownsCell  bool // this node owns a cell
-		storeless bool // the other node can't read the store
-		rowless   bool // this node's row is missing
-		want      bool
+		testName         string
+		domain           string // of the other node
+		ownMbps          float64
+		otherMbps        float64
+		ownsCell         bool // this node owns a cell
+		storeUnreachable bool // the other node can't read the store
+		rowless          bool // this node's row is missing
+		want             bool
 	}
 	scenarios := []scenario{
 		{testName: "this node has the faster link", domain: "z", ownMbps: 200, otherMbps: 25, want: true},
 		{testName: "this node has the slower link", domain: "z", ownMbps: 25, otherMbps: 200},
 		{testName: "with equal links the one that owns no cell reads", domain: "z", ownMbps: 25, otherMbps: 25, ownsCell: true},
-		{testName: "the other node can't read the store", domain: "z", ownMbps: 25, otherMbps: 200, storeless: true, want: true},
+		{testName: "the other node can't read the store", domain: "z", ownMbps: 25, otherMbps: 200, storeUnreachable: true, want: true},
 		{testName: "this node's row is not written yet", domain: "z", ownMbps: 200, otherMbps: 25, rowless: true, want: true},
 		{testName: "the other node is of another domain", domain: "y", ownMbps: 25, otherMbps: 200, want: true},
 	}
@@ -56,7 +56,7 @@
 			if s.ownsCell {
 				n.claims.SetClaims(n.settings.PeerAddress, []ownership.Claim{{Cell: "z", Token: 1}})
 			}
-			n.storeUnreachable[otherAddress] = s.storeless
+			n.storeUnreachable[otherAddress] = s.storeUnreachable
 			if s.rowless {
 				delete(n.memberRows, "a")
 			}
@@ -115,22 +115,22 @@
 
 func TestHeartbeatReportsFailingStore(t *testing.T) {
 	type scenario struct {
-		testName      string
-		executorsFail bool
-		operatorFails bool
-		want          bool
+		testName          string
+		executorsFail     bool
+		operatorReadFails bool
+		want              bool
 	}
 	scenarios := []scenario{
 		{testName: "both can be read"},
 		{testName: "the executors can't be read", executorsFail: true, want: true},
-		{testName: "the configuration can't be read", operatorFails: true, want: true},
+		{testName: "the configuration can't be read", operatorReadFails: true, want: true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
 			n := newTestNode(c, &fakeStore{})
 			n.listReadFails.Store(s.executorsFail)
-			n.operatorReadFails.Store(s.operatorFails)
+			n.operatorReadFails.Store(s.operatorReadFails)
 			c.Assert(n.Heartbeat().StoreFails, qt.Equals, s.want)
 		})
 	}
