--- a/pkg/cell/adopted_leases_test.go
+++ b/pkg/cell/adopted_leases_test.go
@@ -17,7 +17,7 @@
 	now := time.Second
 	lasts := func() (time.Duration, EndKind) { return time.Minute, EndDone }
 	answer := func(cell *Cell, command Command, delay time.Duration) {
-		verdict := e.obey(command, lasts, now)
+		verdict := e.apply(command, lasts, now)
 		clock := e.clock(now)
 		now += delay
 		if command.Kind == Hold {
--- a/pkg/cell/explore_caller_test.go
+++ b/pkg/cell/explore_caller_test.go
@@ -29,7 +29,7 @@
 }
 
 // newCall has a caller submit a job whose tasks are estimated to be either short or
-// longer than callerResends.
+// longer than resubmitDelay.
 func (w *cluster) newCall() {
 	c := &call{cluster: w, id: fmt.Sprintf("job%d", len(w.jobs)+1), tasks: 1 + w.random.IntN(4), estimate: 200 * ms, deadline: w.now + 5*time.Second}
 	if w.oneIn(4) {
@@ -79,7 +79,7 @@
 	s.disconnected = true
 	w.count.resubmitted++
 	w.record(s.call.id, "the connection for %s at %s closes", s.call.id, s.front.name)
-	w.after(callerResends, s.call.send)
+	w.after(resubmitDelay, s.call.send)
 	w.deliverTo(s.front, w.between(0, maxDisconnectNotice), func() {
 		for _, a := range s.attempts {
 			a.callerLeft()
--- a/pkg/cell/explore_cluster_test.go
+++ b/pkg/cell/explore_cluster_test.go
@@ -25,7 +25,7 @@
 
 // cluster is the state of one simulation.
 type cluster struct {
-	orders
+	transport
 	domains []*domain
 	hosts   []*host // crashed ones included
 	jobs    map[string]*call
--- a/pkg/cell/explore_executor_test.go
+++ b/pkg/cell/explore_executor_test.go
@@ -18,20 +18,20 @@
 
 // modelExecutor implements the executor's side of the lease protocol.
 type modelExecutor struct {
-	id         string
-	clockRate  float64 // relative to the simulation's clock
-	fence      int64
-	deadline   time.Duration
-	runs       map[string]modelRun
-	highest    map[string]int64
-	ended      []EndedTask // ends that it hasn't forgotten
-	next       int64
-	cut        bool
-	hidesRuns  bool // its hold responses report all runs as unreadable
-	lapseCount int  // how many times all leases expired
-	lapsed     bool // the leases have expired and none was given since
-	onEnd      func(e *modelExecutor, end EndedTask)
-	onForget   func(e *modelExecutor, end EndedTask) // called for each end that an owner has seen and that is therefore forgotten
+	id           string
+	clockRate    float64 // relative to the simulation's clock
+	fence        int64
+	deadline     time.Duration
+	runs         map[string]modelRun
+	highest      map[string]int64
+	ended        []EndedTask // ends that it hasn't forgotten
+	next         int64
+	disconnected bool
+	hidesRuns    bool // its hold responses report all runs as unreadable
+	lapseCount   int  // how many times all leases expired
+	lapsed       bool // the leases have expired and none was given since
+	onEnd        func(e *modelExecutor, end EndedTask)
+	onForget     func(e *modelExecutor, end EndedTask) // called for each end that an owner has seen and that is therefore forgotten
 
 	startedAt   int64         // when its incarnation started, as it publishes it; 0 if it doesn't
 	restartedAt time.Duration // on the simulation's clock
@@ -80,8 +80,8 @@
 	}
 }
 
-// pass ends the runs that are finished or whose leases have expired by now.
-func (e *modelExecutor) pass(now time.Duration) {
+// endDueRuns ends the runs that are finished or whose leases have expired by now.
+func (e *modelExecutor) endDueRuns(now time.Duration) {
 	lapsed := e.clock(now) >= e.deadline
 	if lapsed && !e.lapsed {
 		e.lapseCount++
@@ -107,10 +107,10 @@
 	e.deadline = max(e.deadline, min(deadline, e.clock(now)+time.Second))
 }
 
-// obey applies a command and returns its verdict. The function lasts draws the
+// apply applies a command and returns its verdict. The function lasts draws the
 // duration and the end of a run that it starts.
-func (e *modelExecutor) obey(command Command, lasts func() (time.Duration, EndKind), now time.Duration) Verdict {
-	e.pass(now)
+func (e *modelExecutor) apply(command Command, lasts func() (time.Duration, EndKind), now time.Duration) Verdict {
+	e.endDueRuns(now)
 	if command.Token < e.fence {
 		return Fenced
 	}
--- a/pkg/cell/explore_host_test.go
+++ b/pkg/cell/explore_host_test.go
@@ -139,7 +139,7 @@
 
 func (h *host) isUnresponsive(peer *host) bool {
 	at, known := h.lastReceived[peer]
-	return known && h.cluster.now > at+frontSuspects
+	return known && h.cluster.now > at+heartbeatTimeout
 }
 
 // crashHost ends a host, if there is one. Its callers' connections break at once. Its
@@ -176,7 +176,7 @@
 }
 
 // freeze freezes a host. If it owns a cell and stays frozen for longer than
-// frontSuspects, another host claims the cell.
+// heartbeatTimeout, another host claims the cell.
 func (w *cluster) freeze(h *host, d time.Duration) {
 	if !h.awake() {
 		return
@@ -188,7 +188,7 @@
 		return
 	}
 	since := w.now
-	w.after(frontSuspects+w.between(0, peerCheckInterval), func() {
+	w.after(heartbeatTimeout+w.between(0, peerCheckInterval), func() {
 		if !h.awake() && h.frozenSince == since {
 			w.claim(h.domain, former)
 		}
--- a/pkg/cell/explore_kept_test.go
+++ b/pkg/cell/explore_kept_test.go
@@ -35,7 +35,7 @@
 
 // keptWorld is the state of one simulation.
 type keptWorld struct {
-	orders
+	transport
 	owners         []*keptOwner
 	rows           map[string]*keptRow
 	coordinator    *coordinator
@@ -188,7 +188,7 @@
 func (o *keptOwner) state() *Cell           { return o.cell }
 func (o *keptOwner) process() *modelProcess { return &o.modelProcess }
 
-// handle implements orderer.
+// handle implements commandSender.
 func (o *keptOwner) handle(event func()) {
 	w := o.world
 	if o.dead {
@@ -243,11 +243,11 @@
 	w.coordinator.ownerLost(former)
 }
 
-// freeze freezes an owner. If it stays frozen for longer than frontSuspects, it loses
+// freeze freezes an owner. If it stays frozen for longer than heartbeatTimeout, it loses
 // its waiters and its cell.
 func (w *keptWorld) freeze(o *keptOwner) {
 	o.frozen = w.now + w.between(0, 4*time.Second)
-	w.after(frontSuspects, func() {
+	w.after(heartbeatTimeout, func() {
 		if w.now >= o.frozen || o.dead {
 			return
 		}
@@ -264,7 +264,7 @@
 		return
 	}
 	o.waiters = map[string]*coordinator{}
-	w.after(frontSuspects, func() {
+	w.after(heartbeatTimeout, func() {
 		if w.newest() == o {
 			w.replace(o)
 		}
@@ -333,7 +333,7 @@
 		o.cell.Submit(Handover{Job: w.rows[id].job, Epoch: epoch, Progress: progress, RenewedAt: max(1, w.now-renewalAge)}, w.now)
 	})
 	if o.dead {
-		w.after(frontSuspects, func() {
+		w.after(heartbeatTimeout, func() {
 			if !k.dead && k.owner[id] == o && w.newest() != o {
 				k.redispatch(id, nil)
 			}
@@ -437,8 +437,8 @@
 	switch w.random.IntN(600) {
 	case 0, 1:
 		e := w.executors[w.random.IntN(len(w.executors))]
-		e.cut = true
-		w.after(w.between(0, 3*time.Second), func() { e.cut = false })
+		e.disconnected = true
+		w.after(w.between(0, 3*time.Second), func() { e.disconnected = false })
 	case 2:
 		if !o.dead {
 			w.takeOverGracefully(o)
@@ -460,7 +460,7 @@
 func (w *keptWorld) takeOverGracefully(former *keptOwner) {
 	w.newOwner()
 	w.deliver(former, 20*ms, func() { former.cell.Release("taken over") })
-	w.after(2*frontSuspects, func() { w.coordinator.ownerLost(former) }) // in case the release didn't reach the former owner
+	w.after(2*heartbeatTimeout, func() { w.coordinator.ownerLost(former) }) // in case the release didn't reach the former owner
 }
 
 // run runs the simulation until all kept jobs have ended, or to its end.
--- a/pkg/cell/explore_orders_test.go
+++ b/pkg/cell/explore_orders_test.go
@@ -52,17 +52,17 @@
 	dead   bool
 }
 
-// orderer is an owner as its commands' transport sees it.
-type orderer interface {
+// commandSender is an owner as its commands' transport sees it.
+type commandSender interface {
 	state() *Cell
 	process() *modelProcess
 	// handle feeds an event into the cell and carries out the resulting actions.
 	handle(event func())
 }
 
-// orders is the transport between owners and model executors. Unless calm, it loses,
+// transport carries commands and answers between owners and model executors. Unless calm, it loses,
 // delays or leaves unanswered some commands, or carries them out seconds later.
-type orders struct {
+type transport struct {
 	timeline
 	executors []*modelExecutor
 	calm      bool
@@ -71,7 +71,7 @@
 	lasts     func(task string) (time.Duration, EndKind) // draws the duration and the end of a run
 }
 
-func (w *orders) executor(id string) *modelExecutor {
+func (w *transport) executor(id string) *modelExecutor {
 	for _, e := range w.executors {
 		if e.id == id {
 			return e
@@ -81,7 +81,7 @@
 }
 
 // deliver delivers an event to an owner, once it is awake.
-func (w *orders) deliver(o orderer, d time.Duration, event func()) {
+func (w *transport) deliver(o commandSender, d time.Duration, event func()) {
 	w.after(d, func() {
 		p := o.process()
 		switch {
@@ -119,16 +119,16 @@
 var unclearAnswerRates = faultRates{lost: 3, delayed: 3, slow: 6, unclear: 12}
 
 // modelCall is a command in flight as pkg/node follows it: it becomes overdue, and its
-// answer is awaited for orderListening after that.
+// answer is awaited for lateAnswerWindow after that.
 type modelCall struct {
-	owner   orderer
+	owner   commandSender
 	command Command
 	sentAt  time.Duration
 	overdue bool
 	over    bool
 }
 
-func (w *orders) send(o orderer, command Command) {
+func (w *transport) send(o commandSender, command Command) {
 	e := w.executor(command.Executor.ID)
 	call := &modelCall{owner: o, command: command, sentAt: w.now}
 	timeout := w.between(20*ms, 40*ms)
@@ -136,16 +136,16 @@
 		timeout += command.Wait
 	}
 	w.deliver(o, timeout, func() { w.becomeOverdue(call) })
-	w.deliver(o, timeout+orderListening, func() { w.answer(call, Unanswered, HoldResponse{Verdict: Unanswered}) })
+	w.deliver(o, timeout+lateAnswerWindow, func() { w.answer(call, Unanswered, HoldResponse{Verdict: Unanswered}) })
 	w.transmit(e, call)
 }
 
 // transmit draws the fault that a command meets and schedules its execution and its
 // answer.
-func (w *orders) transmit(e *modelExecutor, call *modelCall) {
+func (w *transport) transmit(e *modelExecutor, call *modelCall) {
 	travel := time.Duration(w.random.IntN(3)) * ms
 	draw := w.random.IntN(100)
-	if e.cut {
+	if e.disconnected {
 		return
 	}
 	if w.calm {
@@ -187,7 +187,7 @@
 		travel, back = w.between(0, 400*ms), w.between(ms, 200*ms)
 	}
 	w.after(travel, func() {
-		if !e.cut {
+		if !e.disconnected {
 			w.serve(e, call, back)
 		}
 	})
@@ -195,7 +195,7 @@
 
 // serveUnclear answers a command at once without saying whether it was carried out.
 // Six commands in eight are carried out at once, one later, and one never.
-func (w *orders) serveUnclear(e *modelExecutor, call *modelCall) {
+func (w *transport) serveUnclear(e *modelExecutor, call *modelCall) {
 	switch draw := w.random.IntN(8); {
 	case draw < 6:
 		w.carryOut(e, call.command)
@@ -206,7 +206,7 @@
 }
 
 // serve carries a command out and answers it. A hold waits for the end of a run.
-func (w *orders) serve(e *modelExecutor, call *modelCall, back time.Duration) {
+func (w *transport) serve(e *modelExecutor, call *modelCall, back time.Duration) {
 	verdict := Unhealthy
 	if !e.refuses {
 		verdict = w.carryOut(e, call.command)
@@ -223,11 +223,11 @@
 	w.deliver(call.owner, back, func() { w.answer(call, verdict, answer) })
 }
 
-func (w *orders) reportHold(e *modelExecutor, call *modelCall, back, until time.Duration) {
+func (w *transport) reportHold(e *modelExecutor, call *modelCall, back, until time.Duration) {
 	if call.command.Executor.IsOtherIncarnation(e.startedAt) {
 		return // the connection ended with the incarnation that the command was for
 	}
-	e.pass(w.now)
+	e.endDueRuns(w.now)
 	ended := e.ends()
 	if len(ended) == 0 && w.now < until {
 		w.after(exploreStep, func() { w.reportHold(e, call, back, until) })
@@ -242,7 +242,7 @@
 }
 
 // becomeOverdue reports to the owner that a call wasn't answered in time.
-func (w *orders) becomeOverdue(call *modelCall) {
+func (w *transport) becomeOverdue(call *modelCall) {
 	if call.over {
 		return
 	}
@@ -259,7 +259,7 @@
 }
 
 // answer reports the result of a call to the owner.
-func (w *orders) answer(call *modelCall, verdict Verdict, hold HoldResponse) {
+func (w *transport) answer(call *modelCall, verdict Verdict, hold HoldResponse) {
 	if call.over {
 		return
 	}
@@ -281,10 +281,10 @@
 
 // carryOut applies a command at an executor, and records a double run if it starts a
 // task that already runs at an executor.
-func (w *orders) carryOut(e *modelExecutor, command Command) Verdict {
-	return e.obey(command, func() (time.Duration, EndKind) {
+func (w *transport) carryOut(e *modelExecutor, command Command) Verdict {
+	return e.apply(command, func() (time.Duration, EndKind) {
 		for _, other := range w.executors {
-			other.pass(w.now)
+			other.endDueRuns(w.now)
 			if _, ok := other.runs[command.Task]; ok {
 				w.doubles = append(w.doubles, fmt.Sprintf("%s: %s and %s at %s", command.Task, other.id, e.id, w.now))
 			}
--- a/pkg/cell/explore_owner_test.go
+++ b/pkg/cell/explore_owner_test.go
@@ -78,7 +78,7 @@
 func (o *owner) state() *Cell           { return o.cell }
 func (o *owner) process() *modelProcess { return &o.host.modelProcess }
 
-// handle implements orderer. An owner that detects that its process was frozen pauses
+// handle implements commandSender. An owner that detects that its process was frozen pauses
 // its starts.
 func (o *owner) handle(event func()) {
 	w := o.host.cluster
--- a/pkg/cell/explore_test.go
+++ b/pkg/cell/explore_test.go
@@ -21,16 +21,16 @@
 const (
 	exploreStep = 5 * ms
 	exploreTime = 20 * time.Second
-	// orderListening is how long a call that is overdue is listened to.
-	orderListening = 300 * ms
-	frontSuspects  = 600 * ms // a front gives an owner up, and an owner a front
-	callerResends  = 1300 * ms
-	renewalAge     = 150 * ms // of what an owner knows of a front
+	// lateAnswerWindow is how long the answer of an overdue call is still accepted.
+	lateAnswerWindow = 300 * ms
+	heartbeatTimeout = 600 * ms // after which a front gives up an owner, and an owner a front
+	resubmitDelay    = 1300 * ms
+	renewalAge       = 150 * ms // of what an owner knows of a front
 )
 
 // world is one play of the explorer.
 type world struct {
-	orders
+	transport
 	owners []*modelOwner
 	ended  int
 }
@@ -56,7 +56,7 @@
 	epoch int
 	owner *modelOwner
 
-	frontless bool // its front is gone
+	frontCrashed bool // its front has crashed
 }
 
 // newOwner makes an owner with a token above the others'.
@@ -83,7 +83,7 @@
 			continue
 		}
 		if f.Outcome.Kind == job.Moved {
-			w.handOn(m, f.Outcome.Progress)
+			w.redispatch(m, f.Outcome.Progress)
 			continue
 		}
 		w.ended++
@@ -93,9 +93,9 @@
 	}
 }
 
-// handOn gives a job to the newest owner.
-func (w *world) handOn(m *modelJob, progress []job.Progress) {
-	if m.frontless {
+// redispatch submits a job to the newest owner.
+func (w *world) redispatch(m *modelJob, progress []job.Progress) {
+	if m.frontCrashed {
 		return
 	}
 	m.epoch++
@@ -107,7 +107,7 @@
 		w.after(20*ms, func() { w.submit(w.owners[len(w.owners)-1], m, progress) })
 		return
 	}
-	if m.frontless {
+	if m.frontCrashed {
 		return
 	}
 	m.owner = o
@@ -126,21 +126,21 @@
 			continue
 		}
 		for id, m := range o.jobs {
-			if !m.frontless && m.owner == o {
+			if !m.frontCrashed && m.owner == o {
 				o.cell.Renew([]string{id}, w.renewal(), w.now)
 			}
 		}
 	}
 }
 
-// trouble brings a fault now and then.
-func (w *world) trouble() {
+// injectFault injects a random fault from time to time.
+func (w *world) injectFault() {
 	current := w.owners[len(w.owners)-1]
 	switch w.random.IntN(600) {
 	case 0, 1: // an executor is cut off for a while
 		e := w.executors[w.random.IntN(len(w.executors))]
-		e.cut = true
-		w.after(time.Duration(w.random.IntN(3000))*ms, func() { e.cut = false })
+		e.disconnected = true
+		w.after(time.Duration(w.random.IntN(3000))*ms, func() { e.disconnected = false })
 	case 2: // planned: the next owner takes over and tells the former one
 		next := w.newOwner()
 		w.after(20*ms, func() {
@@ -150,7 +150,7 @@
 		})
 	case 3: // the owner stands still, is taken for lost, and wakes
 		current.frozen = w.now + time.Duration(w.random.IntN(4000))*ms
-		w.after(frontSuspects, func() { w.lose(current) })
+		w.after(heartbeatTimeout, func() { w.lose(current) })
 	}
 }
 
@@ -163,7 +163,7 @@
 	w.newOwner()
 	for _, id := range slices.Sorted(maps.Keys(o.jobs)) {
 		if m := o.jobs[id]; m.owner == o {
-			w.handOn(m, nil)
+			w.redispatch(m, nil)
 		}
 	}
 	w.after(o.frozen-w.now, func() {
@@ -188,14 +188,14 @@
 		for _, m := range handed {
 			w.loseFront(m)
 		}
-		w.after(callerResends, func() { w.submitSplit(j) })
+		w.after(resubmitDelay, func() { w.submitSplit(j) })
 	})
 }
 
 // loseFront has owners miss the front of a job.
 func (w *world) loseFront(m *modelJob) {
-	m.frontless = true
-	w.after(frontSuspects, func() {
+	m.frontCrashed = true
+	w.after(heartbeatTimeout, func() {
 		for _, o := range w.owners {
 			if o.jobs[m.job.ID] == m {
 				w.deliver(o, 0, func() { o.cell.Withdraw(m.job.ID, "front silent", w.now) })
@@ -236,7 +236,7 @@
 			jobs++
 			w.arrive(testJob(fmt.Sprintf("job%d", jobs), 1+w.random.IntN(4), w.now))
 		}
-		w.trouble()
+		w.injectFault()
 		w.renew()
 		w.fire()
 		w.tick()
--- a/pkg/cell/explore_trouble_test.go
+++ b/pkg/cell/explore_trouble_test.go
@@ -62,15 +62,15 @@
 func (w *cluster) crashExecutor(d *domain, index int) {
 	number := w.numberOf(d, index)
 	e := w.executors[number]
-	if e.cut {
+	if e.disconnected {
 		return
 	}
 	w.count.crashes++
 	w.record("", "%s crashes", e.id)
-	e.cut = true
+	e.disconnected = true
 	e.restart(w.now)
 	w.after(w.between(shortestRestart, 3*time.Second), func() {
-		e.cut = false
+		e.disconnected = false
 		e.restart(w.now)
 		w.after(w.between(0, 2*time.Second), func() { w.updateListing(d, index, e.info(number)) })
 	})
@@ -142,8 +142,8 @@
 
 // cutOff has all commands to an executor go unanswered for a while.
 func (w *cluster) cutOff(e *modelExecutor) {
-	e.cut = true
-	w.after(w.between(0, 3*time.Second), func() { e.cut = false })
+	e.disconnected = true
+	w.after(w.between(0, 3*time.Second), func() { e.disconnected = false })
 }
 
 // takeOverGracefully has another host claim a cell and notify the former owner.
--- a/pkg/cell/shared_executor_test.go
+++ b/pkg/cell/shared_executor_test.go
@@ -17,7 +17,7 @@
 		model.neighbour = model.submitLong("beside")
 		orphaned := model.submitLong("left")
 		model.advance(300*ms + time.Duration(phase)*25*ms)
-		orphaned.frontless = true
+		orphaned.frontCrashed = true
 		model.takeOver(takeover{after: 250 * ms})
 		model.advance(1500 * ms)
 		c.Assert(model.executors[0].runs["beside.0.0.0"].number, qt.Equals, int64(1), qt.Commentf("phase %d: the run has lapsed", phase))
--- a/pkg/cell/takeovers_test.go
+++ b/pkg/cell/takeovers_test.go
@@ -57,7 +57,7 @@
 	c.advance(t.after)
 	c.newOwner()
 	if c.neighbour != nil {
-		c.handOn(c.neighbour, nil)
+		c.redispatch(c.neighbour, nil)
 	}
 	if t.diesAfter > 0 {
 		c.advance(t.diesAfter)
@@ -97,10 +97,10 @@
 			c.Assert(executor.runs["left.0.0.0"].number, qt.Equals, int64(1), qt.Commentf("the task runs when its front dies"))
 
 			diedAt := model.now
-			orphaned.frontless = true
+			orphaned.frontCrashed = true
 			var lastAliveAfter time.Duration
 			model.watch(func() {
-				executor.pass(model.now)
+				executor.endDueRuns(model.now)
 				if _, runs := executor.runs["left.0.0.0"]; runs {
 					lastAliveAfter = model.now - diedAt
 				}
@@ -109,7 +109,7 @@
 				model.takeOver(t)
 			}
 			model.advance(3 * time.Second)
-			c.Assert(lastAliveAfter < callerResends, qt.IsTrue, qt.Commentf("the run continued for %s after the front's death", lastAliveAfter))
+			c.Assert(lastAliveAfter < resubmitDelay, qt.IsTrue, qt.Commentf("the run continued for %s after the front's death", lastAliveAfter))
 		})
 	}
 }
