--- a/pkg/cell/checkpoint_test.go
+++ b/pkg/cell/checkpoint_test.go
@@ -31,7 +31,7 @@
 	now += checkpointAfter
 	due := state.Checkpoints(now)
 	c.Assert(due, qt.HasLen, 1)
-	c.Assert(EndsOf(due[0].Progress), qt.Equals, 1)
+	c.Assert(CountEnds(due[0].Progress), qt.Equals, 1)
 	end(2, 1, EndDone)
 	c.Assert(state.Checkpoints(now+ms), qt.HasLen, 0, qt.Commentf("a checkpoint was reported a moment ago"))
 	c.Assert(state.releaseForgettable(e, now), qt.Equals, int64(0), qt.Commentf("the checkpoint is not persisted yet"))
@@ -41,7 +41,7 @@
 	now += checkpointAfter
 	due = state.Checkpoints(now)
 	c.Assert(due, qt.HasLen, 1)
-	c.Assert(EndsOf(due[0].Progress), qt.Equals, 2)
+	c.Assert(CountEnds(due[0].Progress), qt.Equals, 2)
 	c.Assert(state.Checkpoints(now+checkpointRetry), qt.HasLen, 1, qt.Commentf("the report may have been lost"))
 	state.CheckpointPersisted("a", 2, now)
 	c.Assert(state.releaseForgettable(e, now), qt.Equals, int64(2))
--- a/pkg/cell/explore_owner_test.go
+++ b/pkg/cell/explore_owner_test.go
@@ -78,12 +78,12 @@
 func (o *owner) state() *Cell           { return o.cell }
 func (o *owner) process() *modelProcess { return &o.host.modelProcess }
 
-// handle implements orderer. An owner that detects that its process was frozen pauses
+// handle implements commandSender. An owner that detects that its process was frozen pauses
 // its starts.
 func (o *owner) handle(event func()) {
 	w := o.host.cluster
 	if w.now-o.lastRun > freezeThreshold {
-		o.cell.Pause(w.now + pauseAfterFreeze)
+		o.cell.PauseStarts(w.now + pauseAfterFreeze)
 	}
 	o.lastRun = w.now
 	event()
@@ -170,7 +170,7 @@
 	if d.settleDelay > 0 {
 		settleAt = w.now + d.settleDelay
 	}
-	handover := Handover{Job: d.job, Epoch: d.epoch, Progress: d.progress, SettleAt: settleAt, RenewedAt: d.renewedAt}
+	handover := Handover{Job: d.job, Epoch: d.epoch, Progress: d.progress, NotBefore: settleAt, RenewedAt: d.renewedAt}
 	o.handle(func() { o.cell.Submit(handover, w.now) })
 }
 
--- a/pkg/cell/kept_test.go
+++ b/pkg/cell/kept_test.go
@@ -72,7 +72,7 @@
 			start := startOneTask(c, d, keptJob("a", 1, d.now))
 			d.renewalsStopped = true
 			if s.suspended {
-				d.cell.Pause(d.now + ms)
+				d.cell.PauseStarts(d.now + ms)
 			}
 			furthest := d.runFor(s.unrenewedFor, listedRun(start))
 			_, ended := d.finished["a"]
@@ -155,7 +155,7 @@
 	d.startAnswered(starts[1], Accepted)
 	d.renewalsStopped = true
 	d.now += testJobLease
-	d.cell.Pause(d.now + 100*ms)
+	d.cell.PauseStarts(d.now + 100*ms)
 	d.now += 200 * ms
 	d.holdAnswered(0, HoldResponse{Clock: time.Minute + d.now, Ended: []EndedTask{listedEnd(1, starts[0], EndDone), listedEnd(2, starts[1], EndDone)}}, d.now)
 	c.Assert(d.takeCommands(Start), qt.HasLen, 0)
@@ -324,8 +324,8 @@
 			}
 			outcome := d.finished["a"]
 			c.Assert(outcome.Kind == job.Moved, qt.Equals, s.want)
-			c.Assert(outcome.Reason == ReasonStranded, qt.Equals, s.want)
-			c.Assert(NothingRuns(outcome.Reason), qt.Equals, s.want)
+			c.Assert(outcome.Reason == ReasonNoUsableExecutor, qt.Equals, s.want)
+			c.Assert(LeavesNoRuns(outcome.Reason), qt.Equals, s.want)
 			c.Assert(outcome.Started, qt.IsFalse)
 		})
 	}
@@ -349,7 +349,7 @@
 	d.holdAnswered(0, HoldResponse{Clock: time.Minute + d.now, Ended: []EndedTask{listedEnd(1, starts[0], EndDone), listedEnd(2, starts[1], EndDone)}}, d.now)
 	d.tick(ms)
 	outcome := d.finished["a"]
-	c.Assert(outcome.Reason, qt.Equals, ReasonStranded)
+	c.Assert(outcome.Reason, qt.Equals, ReasonNoUsableExecutor)
 	c.Assert(outcome.Progress, qt.HasLen, 2, qt.Commentf("the next cell runs the third task"))
 }
 
--- a/pkg/cell/lease_test.go
+++ b/pkg/cell/lease_test.go
@@ -66,7 +66,7 @@
 func TestAPausedCellStartsNothing(t *testing.T) {
 	c := qt.New(t)
 	d := newAdoptedDriver(c, 1)
-	d.cell.Pause(d.now + 300*ms)
+	d.cell.PauseStarts(d.now + 300*ms)
 	d.submit(testJob("a", 1, d.now), 1)
 	d.tick(299 * ms)
 	c.Assert(d.takeCommands(Start), qt.HasLen, 0)
--- a/pkg/cell/unpersisted_test.go
+++ b/pkg/cell/unpersisted_test.go
@@ -80,7 +80,7 @@
 			for until := d.now + s.waits; d.now < until; {
 				d.tick(50 * ms)
 			}
-			c.Assert(d.nextHold().LastSeen, qt.Equals, s.want)
+			c.Assert(d.nextHold().AckedEnd, qt.Equals, s.want)
 		})
 	}
 }
@@ -101,7 +101,7 @@
 	d.takeActions()
 	holds := d.takeCommands(Hold)
 	c.Assert(holds, qt.HasLen, 1, qt.Commentf("it has no more ends to list"))
-	c.Assert(holds[0].LastSeen, qt.Equals, int64(1))
+	c.Assert(holds[0].AckedEnd, qt.Equals, int64(1))
 	c.Assert(holds[0].Wait > shortestHoldWait, qt.IsTrue)
 }
 
@@ -118,7 +118,7 @@
 		response.Ended = append(response.Ended, end)
 	}
 	d.holdAnswered(0, response, d.now)
-	c.Assert(d.nextHold().LastSeen, qt.Equals, int64(many-maxRetainedEnds))
+	c.Assert(d.nextHold().AckedEnd, qt.Equals, int64(many-maxRetainedEnds))
 }
 
 // An executor with many ends to list gets no tasks of further kept jobs until it has fewer.
@@ -272,14 +272,14 @@
 	}
 	d.holdAnswered(0, HoldResponse{Clock: time.Minute, Ended: ended}, d.now)
 	keepBusy(d)
-	c.Assert(d.nextHold().LastSeen, qt.Equals, int64(1), qt.Commentf("the end of a job that is not kept"))
+	c.Assert(d.nextHold().AckedEnd, qt.Equals, int64(1), qt.Commentf("the end of a job that is not kept"))
 	d.submit(keptJob("a", 1, d.now), 2)
 	c.Assert(d.finished["a"].Kind, qt.Equals, job.Completed)
 	d.cell.EndsPersisted([]string{"a"}, d.now)
 	d.takeActions()
-	c.Assert(d.nextHold().LastSeen, qt.Equals, int64(2))
+	c.Assert(d.nextHold().AckedEnd, qt.Equals, int64(2))
 	d.now += unknownJobEndRetention
-	c.Assert(d.nextHold().LastSeen, qt.Equals, int64(3), qt.Commentf("the job has not arrived in time"))
+	c.Assert(d.nextHold().AckedEnd, qt.Equals, int64(3), qt.Commentf("the job has not arrived in time"))
 	c.Assert(d.cell.histories, qt.HasLen, 0)
 	c.Assert(d.cell.unpersisted, qt.HasLen, 0)
 }
--- a/pkg/node/sizes.go
+++ b/pkg/node/sizes.go
@@ -47,11 +47,11 @@
 	include := func(domain string, host ownership.Capacity) {
 		sizes.byDomain[domain] = max(sizes.byDomain[domain], ownership.CellSize(host))
 	}
-	for _, row := range n.rows {
+	for _, row := range n.memberRows {
 		include(row.Domain, row.Capacity)
 	}
 	for _, peer := range n.members.View(n.inc).Peers {
-		if _, listed := n.rows[peer.Name]; !listed {
+		if _, listed := n.memberRows[peer.Name]; !listed {
 			include(peer.Domain, ownership.Capacity{CPU: peer.Weight, LinkMbps: n.settings.LinkMbps})
 		}
 	}
@@ -65,12 +65,12 @@
 	sizes := n.cellSizes()
 	counts := map[string]int{}
 	for domain, count := range executors {
-		inUse := n.claims.CountInUse(domain)
+		inUse := n.claims.ClaimedCellCount(domain)
 		if !n.rowsRead && inUse > 0 {
 			counts[domain] = inUse
 			continue
 		}
-		counts[domain] = ownership.KeepCount(count, sizes.of(domain), inUse)
+		counts[domain] = ownership.StableCellCount(count, sizes.of(domain), inUse)
 	}
 	return counts
 }
