--- a/pkg/member/hubs.go
+++ b/pkg/member/hubs.go
@@ -6,16 +6,19 @@
 	"time"
 )
 
-// With links between all hosts of a domain, the number of links grows with the square of
-// the number of hosts, so only small domains have them. In a large domain the strongest
-// hosts are its hubs: each host holds links to all hubs and to a few other hosts. Only hubs
-// own cells and read the store for the domain, so other hosts need no more links.
+// In a small domain all hosts hold links to each other. As the number of such links grows
+// with the square of the number of hosts, a host of a large domain holds links only to the
+// hubs, which are the strongest hosts of the domain, and to a few other hosts. That is
+// enough, since hubs own the domain's cells and read the store for it.
+//
+// Domains are sized and ranked by the listed hosts: those of the last SetListed.
 const (
 	// maxMeshSize is the number of hosts of a domain up to which all hold links to each
 	// other.
 	maxMeshSize = 40
 	// hubCount is the number of hubs of a large domain. It has to exceed the number of the
-	// domain's cells.
+	// domain's cells, so that each cell can have a hub of its own as its owner: cells are
+	// sized for one host each.
 	hubCount = 20
 	// ringLinks is the number of other hosts to which a host of a large domain holds links,
 	// so that it isn't cut off when all hubs are lost.
@@ -57,8 +60,8 @@
 	}
 }
 
-// isUnreachable reports whether a host to which a link is wanted has been unreachable for
-// longer than hubGracePeriod.
+// isUnreachable reports whether a host has been recorded as unreachable (recordUnreachable)
+// for longer than hubGracePeriod. It is false for this host itself.
 func (t *Table) isUnreachable(address string, now time.Duration) bool {
 	if address == t.self.Address {
 		return false
@@ -70,8 +73,8 @@
 	return known && now > since+hubGracePeriod
 }
 
-// hubs returns the hubs of the own domain, and the unreachable hosts that rank before the
-// last of them. Both are nil in a small domain.
+// hubs returns the hubs of the own domain, and the unreachable hosts that would be hubs in
+// place of some of them. It returns at most hubCount of each, and none in a small domain.
 func (t *Table) hubs(now time.Duration) (hubs, unreachable []string) {
 	own := t.domains[t.self.Domain]
 	if !own.isLarge() {
@@ -103,8 +106,8 @@
 	return HubTest{table: t, ownHubs: own}
 }
 
-// IsHub reports whether a host may own cells and read the store for its domain, as may all
-// hosts of small domains and hosts that aren't listed yet.
+// IsHub reports whether a host is a hub. All hosts of small domains and all hosts that
+// aren't listed yet count as hubs. Unreachable hosts are replaced only in the own domain.
 func (h HubTest) IsHub(address, domain string) bool {
 	hosts := h.table.domains[domain]
 	if _, listed := h.table.listed[address]; !hosts.isLarge() || !listed {
@@ -126,8 +129,9 @@
 // to all others.
 func (t *Table) IsLarge() bool { return t.domains[t.self.Domain].isLarge() }
 
-// wantedInDomain returns the hosts of the own domain to keep links to. A hub without a link
-// counts as unreachable from the first call that returns it.
+// wantedInDomain returns the hosts of the own domain to keep links to, which may include
+// this host. The grace period of a hub whose link is down begins with the first call that
+// returns the hub.
 func (t *Table) wantedInDomain(now time.Duration) []string {
 	own := t.domains[t.self.Domain]
 	if !own.isLarge() {
@@ -143,7 +147,8 @@
 	return wanted
 }
 
-// recordUnreachable records since when hubs are unreachable.
+// recordUnreachable records now for each hub whose link is down and that has no record yet.
+// This host has no link to itself and is recorded too, which isUnreachable ignores.
 func (t *Table) recordUnreachable(hubs []string, now time.Duration) {
 	for _, address := range hubs {
 		_, up := t.up[address]
--- a/pkg/ownership/cells.go
+++ b/pkg/ownership/cells.go
@@ -52,7 +52,7 @@
 // bounds. A change would move executors between owners while they run tasks, and replaced
 // executors are listed for a while beside their replacements.
 const (
-	maxCellFill = 1.5  // share of the executors that the cells can hold
+	maxCellFill = 1.5  // executors, as a multiple of what the owners of the cells can serve (CellSize)
 	minCellFill = 0.25 // likewise
 )
 
@@ -111,6 +111,8 @@
 	return cellName(domain, count, cellIndex(address, count))
 }
 
+// cellName returns the name of one of several cells of a domain, such as "zone/4.2" for the
+// third of four. The only cell of a domain has the name of the domain.
 func cellName(domain string, count int, index uint64) string {
 	return domain + "/" + strconv.Itoa(count) + "." + strconv.FormatUint(index, 10)
 }
@@ -145,6 +147,7 @@
 
 func (d Division) Count() int { return len(d.names) }
 
+// DomainOf returns the domain of the cell with the given name.
 func DomainOf(cell string) string {
 	if i := strings.LastIndexByte(cell, '/'); i >= 0 {
 		return cell[:i]
--- a/pkg/ownership/choose.go
+++ b/pkg/ownership/choose.go
@@ -10,8 +10,8 @@
 
 // Choose returns the claim on the cell to send a job to: one of the own domain, unless a
 // cell of another domain would start the job much sooner. Among equal waits it prefers the
-// cell with the most free capacity. It reports false when no cell is ready to serve the
-// job.
+// cell with the most free capacity. needsCPU is the need of one task, in thousandths of a
+// core. It reports false when no cell has usable executors of the service.
 func Choose(claims []Claim, ownDomain, service string, needsCPU int64) (Claim, bool) {
 	var best Claim
 	var bestWait time.Duration
@@ -32,7 +32,8 @@
 	return best, found
 }
 
-// expectedWait estimates how long the first task of a job waits in a cell.
+// expectedWait estimates how long the first task of a job waits in a cell: the time that
+// the cell's whole capacity takes for the queued work.
 func expectedWait(load Load, needsCPU int64) time.Duration {
 	if load.QueuedWork == 0 && load.FreeCPU >= needsCPU {
 		return 0
--- a/pkg/ownership/ownership.go
+++ b/pkg/ownership/ownership.go
@@ -1,8 +1,9 @@
-// Package ownership decides which host owns a cell of executors, and which cell a job is
-// sent to. It does no I/O, writes nothing to a store and takes no votes: a host claims a
-// cell by fencing its executors with a token above all that it has seen, and from then on
-// the executors refuse the former owner. A needless claim costs time, but pkg/cell ensures
-// that no task runs twice because of it. The rules below keep needless claims rare.
+// Package ownership decides which host owns a cell of executors (ShouldClaim), which cell a
+// job is sent to (Choose), and among which cells a wide job is divided (Split). It does no
+// I/O, writes nothing to a store and takes no votes: a host claims a cell by fencing its
+// executors with a token above all that it has seen, and from then on the executors refuse
+// the former owner. A needless claim delays jobs; it is pkg/cell that prevents a task from
+// running twice at once when the owner changes. The rules below keep needless claims rare.
 package ownership
 
 import (
@@ -17,19 +18,19 @@
 
 // Claim is a host's announcement that it owns a cell.
 type Claim struct {
-	Cell  string
-	Token int64
+	Cell  string // see cellName
+	Token int64  // see NextToken
 	Owner string // peer address of the host
 	Load  Load
 }
 
 // Load is the state of a cell as reported by its owner.
 type Load struct {
-	CapacityCPU int64
-	FreeCPU     int64
-	QueuedWork  int64
-	Ready       bool
-	Services    []string
+	CapacityCPU int64    // of the usable executors, in thousandths of a core
+	FreeCPU     int64    // the part of CapacityCPU that no task uses
+	QueuedWork  int64    // of the waiting tasks, in thousandths of a core x milliseconds
+	Ready       bool     // the cell has a usable executor
+	Services    []string // of the usable executors, sorted
 }
 
 // Serves reports whether the cell has usable executors of a service.
@@ -41,12 +42,15 @@
 type Host struct {
 	Address     string
 	Domain      string
-	Leaving     bool
+	Leaving     bool // it is shutting down as planned, and hands over its cells
 	Weight      int  // thousandths of a core that it may use; 0 when unknown
 	HasReported bool // it has reported which cells it owns
 }
 
-// View is the state of the hosts as seen by the host that decides.
+// View is the state of the hosts as seen by the host that decides. Expected counts this
+// host, the reachable ones, and those that member.Table.Expected returns. The rows of a
+// system that starts for the first time may still be incomplete, so that Expected is too
+// low; after a restart (Restarted) the rows from before are there.
 type View struct {
 	Self      Host
 	Up        []Host // other hosts whose links are up
@@ -57,16 +61,17 @@
 	Listed bool
 }
 
-// Limits are the waits before a claim.
+// Limits are the waits before a claim. A host that has restarted (View.Restarted) and has
+// the reports of all expected hosts does not wait after its start.
 type Limits struct {
 	AfterStart       time.Duration // after the start of the process, to receive the claims of other hosts
-	MajorityReported time.Duration // after the start, if most expected hosts are reachable and all reachable ones have reported
-	AllReported      time.Duration // after the start, if all expected hosts have reported: rows of hosts that are starting may be missing
+	MajorityReported time.Duration // the same for a host that has restarted, if most expected hosts are reachable and all reachable ones have reported
+	AllReported      time.Duration // the same for a host that has not restarted, if all expected hosts have reported: rows of other new hosts may be missing
 	Isolated         time.Duration // without an owner, for a host that reaches less than half of the expected hosts
 	OtherDomain      time.Duration // without a reachable host of the domain, for hosts of other domains
-	Fenced           time.Duration // after an executor refused a claim because of another host's higher token
+	Fenced           time.Duration // after an executor refused a claim because of a higher token; a multiple after consecutive refusals
 	PeersUnknown     time.Duration // after the start, for a host that has not read the rows and reaches no host of its domain
-	Retry            time.Duration // after a refusal because of a token that no running host holds
+	Retry            time.Duration // the same as Fenced soon after a restart, if no running host can hold the higher token (hasNoLiveHolder)
 }
 
 // DefaultLimits returns the limits used in production.
@@ -95,8 +100,8 @@
 }
 
 type cellState struct {
-	ownerlessSince    time.Duration // when the owner was first missed; 0 while there is one
-	domainEmptySince  time.Duration // when hosts of the domain were first missed; 0 while one is reachable
+	ownerlessSince    time.Duration // when the cell first lacked an owner, or had one to replace; 0 while it has another one
+	domainEmptySince  time.Duration // when this host, of another domain, first reached no host of the cell's domain; reset only if it reaches one while the cell lacks an owner
 	noClaimBefore     time.Duration // earliest time of the next claim
 	consecutiveFences int           // refusals since the last accepted claim
 }
@@ -110,7 +115,8 @@
 func (t *Table) HasReported(owner string) bool { return t.reported[owner] }
 
 // SetClaims replaces the claims of a host. It reports whether the host claims other cells
-// or with other tokens than before, or has become ready or unready to serve one.
+// or with other tokens than before, or whether one of the cells has become ready or unready
+// (Load.Ready).
 func (t *Table) SetClaims(owner string, claims []Claim) bool {
 	t.reported[owner] = true
 	if len(claims) == 0 && !t.Owns(owner) {
@@ -273,8 +279,8 @@
 }
 
 // tooEarly reports whether this host may have started too recently to know the current
-// owners. The store may still have rows of hosts that were removed for good, so it does not
-// always wait for reports of all hosts.
+// owners. It waits for the reports of all expected hosts at most until AfterStart, since
+// the store may still have rows of hosts that were removed for good.
 func (t *Table) tooEarly(view View, now time.Duration) bool {
 	age := now - t.started
 	switch {
@@ -292,20 +298,21 @@
 	return !view.Listed && len(hostsOf(view, view.Self.Domain)) == 0
 }
 
-// weakOwnerRatio bounds the processor time of an owner relative to this host's: at or below
-// it this host replaces the owner.
+// weakOwnerRatio decides which owners are far weaker than this host: those whose processor
+// time for the cell (weightFor) is at most this share of this host's.
 const weakOwnerRatio = 0.5
 
-// weightFor returns the processor time that a host has for a cell when it divides its time
-// equally among the cells that it owns.
+// weightFor returns the processor time, in thousandths of a core, that a host has for a cell
+// when it divides its time equally among this cell and the others that it owns.
 func (t *Table) weightFor(cell string, host Host) float64 {
 	return float64(host.Weight) / float64(1+t.otherCellsOwned(cell, host.Address))
 }
 
 // shouldReplace reports whether this host should replace the owner of a cell: the owner is
 // unreachable or leaving, or this host is of the cell's domain while the owner is of
-// another domain or far weaker. Cells are sized for one host each, so an owner of two cells
-// counts as weaker than an equally strong host that owns none.
+// another domain, or is far weaker and this host ranks first among the domain's hosts.
+// Cells are sized for one host each, so an owner of two cells counts as weaker than an
+// equally strong host that owns none.
 func (t *Table) shouldReplace(owner Claim, cell, domain string, view View, inDomain bool) bool {
 	if owner.Owner == view.Self.Address {
 		return false
@@ -319,7 +326,8 @@
 	return true // unreachable
 }
 
-// allReported reports whether every expected host has reported which cells it owns.
+// allReported reports whether every expected host is reachable and has reported which cells
+// it owns. It is false when this host expects no other one.
 func allReported(view View) bool {
 	return reachableReported(view) && view.Expected > 1 && len(view.Up)+1 >= view.Expected
 }
@@ -347,8 +355,8 @@
 }
 
 // ranksFirst reports whether a host ranks before all others for a cell by rendezvous
-// hashing. An owner has far more work than other hosts, so weak hosts rank last, and the
-// weight of a host that owns other cells is divided among them.
+// hashing (weightedScore). Hosts that are weak, or that own other cells already, rarely rank
+// first, as an owner has far more work than other hosts.
 func (t *Table) ranksFirst(cell string, self Host, others []Host) bool {
 	own := weightedScore(cell, self, t.otherCellsOwned(cell, self.Address))
 	for _, other := range others {
@@ -372,9 +380,10 @@
 // host's processor time, so that weak hosts hardly ever own a cell.
 const weightExponent = 6
 
-// weightedScore returns the rendezvous score of a key and a host. The chance of a host to
-// get the highest score is proportional to a power of the weight that it has left for one
-// cell more than the given number of owned ones.
+// weightedScore returns the rendezvous score of a key, such as a cell, and a host that owns
+// the given number of other cells. The chance of the host to get the highest score is
+// proportional to its share for one more cell, Weight / (1 + owned), to the power of
+// weightExponent.
 func weightedScore(cell string, host Host, owned int) float64 {
 	unit := (float64(member.Score(cell, host.Address)>>11) + 0.5) / (1 << 53)
 	weight := math.Pow(float64(max(host.Weight, 1))/float64(1+owned), weightExponent)
--- a/pkg/ownership/ownership_test.go
+++ b/pkg/ownership/ownership_test.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	domain = "here"
+	domain = "here" // also the name of its only cell
 	later  = time.Minute
 )
 
--- a/pkg/ownership/split.go
+++ b/pkg/ownership/split.go
@@ -15,9 +15,9 @@
 const minFreeMultiple = 2
 
 // Split divides the tasks of a job among cells when there are too many of them to start in
-// the chosen cell at once. Each task needs needsCPU. The cells get tasks in proportion to
-// their capacity, and the chosen cell gets the remainder. It returns nil for a job that
-// should not be split.
+// the chosen cell at once. Each task needs needsCPU thousandths of a core. The cells that
+// have usable executors of the service get tasks in proportion to their capacity, and the
+// chosen cell gets the remainder. It returns nil for a job that should not be split.
 func Split(claims []Claim, chosen Claim, service string, tasks int, needsCPU int64) []Share {
 	needs := int64(tasks) * needsCPU
 	if float64(needs) <= wideJobShare*float64(chosen.Load.CapacityCPU) {
--- a/pkg/ownership/tokens.go
+++ b/pkg/ownership/tokens.go
@@ -7,12 +7,12 @@
 // therefore exceed those from before without any coordination. All 53 bits are exact in a
 // JSON number.
 const (
-	hostBits       = 18
-	ticksPerSecond = 16
+	hostBits       = 18 // low bits of a token, from the id of its host
+	ticksPerSecond = 16 // ticks of the time of day in the high bits
 )
 
 // maxJumpShift bounds how far a token jumps ahead after a refusal, as a power of two in
-// ticks: 4 s, more than the clocks of hosts differ.
+// ticks: 64 ticks, or 4 s, more than the clocks of hosts differ.
 const maxJumpShift = 6
 
 // maxQuickRetries is how many times in a row a host retries quickly after refusals that no
@@ -28,12 +28,14 @@
 // Limits.Fenced.
 const maxFenceBackoff = 4
 
+// ticks converts a time of day.
 func ticks(now time.Time) int64 {
 	return now.UnixMilli() * ticksPerSecond / time.Second.Milliseconds()
 }
 
 // NextToken returns a token above all known ones, and above those made before a restart of
-// the whole system. now is the time of day.
+// the whole system. now is the time of day, and the low bits of hostID tell the tokens of
+// hosts apart.
 func (t *Table) NextToken(now time.Time, hostID uint32) int64 {
 	counter := max(t.highestToken>>hostBits+1, ticks(now))
 	token := counter<<hostBits | int64(hostID&(1<<hostBits-1))
--- a/pkg/ownership/tokens_test.go
+++ b/pkg/ownership/tokens_test.go
@@ -34,7 +34,7 @@
 	c.Assert(second < 1<<53, qt.IsTrue, qt.Commentf("exact in a JSON number"))
 	table.SetClaims("b", claimOf("b", second+1<<40))
 	c.Assert(table.NextToken(noon, 1) > second+1<<40, qt.IsTrue, qt.Commentf("above all tokens seen"))
-	restarted := NewTable(DefaultLimits(), 0)
+	restarted := NewTable(DefaultLimits(), 0) // a new process, which has seen no token
 	c.Assert(restarted.NextToken(noon.Add(2*time.Second/ticksPerSecond), 1) > first, qt.IsTrue, qt.Commentf("above tokens from before a restart"))
 	other := NewTable(DefaultLimits(), 0)
 	c.Assert(other.NextToken(noon, 2), qt.Not(qt.Equals), first, qt.Commentf("no two hosts make the same token"))
@@ -60,8 +60,8 @@
 }
 
 // After a restart of the whole system, executors may know tokens of a host whose clock was
-// ahead. As all hosts are reachable and none owns the cell, the new owner must not wait the
-// full backoff.
+// ahead. As all hosts are reachable and none owns the cell, the new owner must retry every
+// Limits.Retry, with tokens that jump ahead twice as far each time, and not back off.
 func TestTokensOfADeadHostAreExceededQuickly(t *testing.T) {
 	c := qt.New(t)
 	dead := NewTable(DefaultLimits(), 0).NextToken(noon.Add(3*time.Second), 7)
@@ -69,7 +69,7 @@
 	other := host("b", domain)
 	other.HasReported = true
 	view := View{Self: host("a", domain), Up: []Host{other}, Expected: 2, Restarted: true}
-	now, day := 100*time.Millisecond, noon
+	now, day := 100*time.Millisecond, noon // within restartWindow of the start at 0
 	for table.NextToken(day, 1) < dead {
 		table.Fenced(domain, view, now)
 		wait := table.state(domain).noClaimBefore - now
@@ -78,8 +78,9 @@
 	c.Assert(now < 600*time.Millisecond, qt.IsTrue, qt.Commentf("exceeded at %s", now))
 }
 
-// A refusal may come from a host of the domain that has just started and is not known yet.
-// If the former owner claimed the cell back at once, both would run the same tasks.
+// The higher token may be of a host of the domain that has just started and is not known
+// yet. A host that started longer ago than restartWindow must back off, and not claim the
+// cell back from that host at once.
 func TestLongRunningHostWaitsAfterUnknownFence(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(DefaultLimits(), 0)
