--- a/pkg/openjobs/explore_test.go
+++ b/pkg/openjobs/explore_test.go
@@ -58,7 +58,7 @@
 	h.process++
 	h.dead, h.startedAt = false, h.world.now
 	h.open, h.ended = nil, nil
-	h.local, h.table = NewLocalJobs(resubmit, runTimeout), NewTable(runTimeout)
+	h.local, h.table = NewLocalJobs(resubmitAfter, unrenewedRunTTL), NewTable(unrenewedRunTTL)
 }
 
 // announce announces the open job to the other hosts, again and again.
@@ -354,7 +354,7 @@
 	}
 	switch open := h.open; {
 	case entry.Front.Process != fmt.Sprint(h.process):
-		answer(Reply{Verdict: NotOpen, RunsEndBy: w.now + runTimeout}, false)
+		answer(Reply{Verdict: NotOpen, RunsEndBy: w.now + unrenewedRunTTL}, false)
 	case open == nil:
 		answer(Reply{Verdict: NotOpen, RunsEndBy: runsEndBy}, false)
 	case open.execution != nil:
--- a/pkg/openjobs/explore_world_test.go
+++ b/pkg/openjobs/explore_world_test.go
@@ -73,7 +73,7 @@
 func (e *execution) end(now time.Duration, isUnconfirmed bool) {
 	runsEndBy := now
 	if isUnconfirmed {
-		runsEndBy += runTimeout
+		runsEndBy += unrenewedRunTTL
 	}
 	if e.runsEndBy == 0 || runsEndBy < e.runsEndBy {
 		e.runsEndBy = runsEndBy
@@ -331,7 +331,7 @@
 func (w *world) startExecution(o *modelOpen) *execution {
 	for _, c := range w.executions {
 		isolated := c.open.host.isolatedSince
-		switch isAlive := c.open != o && (c.runsEndBy == 0 && isolated == 0 || c.runsEndBy == 0 && w.now < max(c.startedAt, isolated)+runTimeout || w.now < c.runsEndBy); {
+		switch isAlive := c.open != o && (c.runsEndBy == 0 && isolated == 0 || c.runsEndBy == 0 && w.now < max(c.startedAt, isolated)+unrenewedRunTTL || w.now < c.runsEndBy); {
 		case isAlive && c.open.announcedTo[o.host.key()]:
 			w.ranTwice = true
 			w.logf("host %d starts the job beside host %d, which started it at %s and whose runs end by %s", o.host.index, c.open.host.index, c.startedAt, c.runsEndBy)
@@ -350,7 +350,7 @@
 func (w *world) submit() {
 	h := w.hosts[w.random.IntN(len(w.hosts))]
 	if h.dead || w.now < h.startedAt+minCallerDelay || w.submissions > 5 {
-		w.after(resubmit, w.submit)
+		w.after(resubmitAfter, w.submit)
 		return
 	}
 	w.submissions++
@@ -363,7 +363,7 @@
 		}
 		isOpen = false
 		w.logf("connection of %s breaks", name)
-		w.after(resubmit, w.submit)
+		w.after(resubmitAfter, w.submit)
 		if w.random.IntN(3) == 0 && h.process == process && !h.dead {
 			h.callerLeft(name)
 		}
--- a/pkg/openjobs/local_jobs.go
+++ b/pkg/openjobs/local_jobs.go
@@ -10,11 +10,11 @@
 // LocalJobs holds the jobs that this front holds open itself and may have to announce. It
 // is not safe for concurrent use.
 type LocalJobs struct {
-	resubmitAfter time.Duration
-	runTimeout    time.Duration // how long runs of a job may outlive its deadline
-	open          map[string]*localJob
-	unannounced   byReceipt
-	lastBatch     time.Duration // time of the last batch
+	resubmitAfter   time.Duration
+	unrenewedRunTTL time.Duration // how long a run may outlive the last renewal of its lease, which may be as late as the job's deadline
+	open            map[string]*localJob
+	unannounced     byReceipt
+	lastBatch       time.Duration // time of the last batch
 }
 
 type localJob struct {
@@ -51,9 +51,10 @@
 }
 
 // NewLocalJobs returns an empty LocalJobs. resubmitAfter is the time after which callers
-// resubmit a job, and runTimeout the time that runs of a job may outlive its deadline.
-func NewLocalJobs(resubmitAfter, runTimeout time.Duration) *LocalJobs {
-	return &LocalJobs{resubmitAfter: resubmitAfter, runTimeout: runTimeout, open: map[string]*localJob{}}
+// resubmit a job, and unrenewedRunTTL the time after its last renewal at which a run can't
+// be alive any more.
+func NewLocalJobs(resubmitAfter, unrenewedRunTTL time.Duration) *LocalJobs {
+	return &LocalJobs{resubmitAfter: resubmitAfter, unrenewedRunTTL: unrenewedRunTTL, open: map[string]*localJob{}}
 }
 
 // Add records that this front holds a job open from now on. A job that ends before it can
@@ -68,7 +69,8 @@
 	heap.Push(&l.unannounced, j)
 }
 
-// Remove records that a job has ended here, and reports whether it had been announced.
+// Remove records that a job has ended here, and reports whether it had been announced, so
+// that other fronts may ask for its outcome.
 func (l *LocalJobs) Remove(id string) bool {
 	j := l.open[id]
 	if j == nil {
@@ -113,7 +115,7 @@
 }
 
 func (l *LocalJobs) announcementOf(j *localJob, now time.Duration) Announcement {
-	return Announcement{ID: j.id, Remaining: max(0, j.deadline-now) + l.runTimeout}
+	return Announcement{ID: j.id, Remaining: max(0, j.deadline-now) + l.unrenewedRunTTL}
 }
 
 func sorted(announcements []Announcement) []Announcement {
--- a/pkg/openjobs/openjobs.go
+++ b/pkg/openjobs/openjobs.go
@@ -44,7 +44,8 @@
 	return max(0, resubmitAfter-announceMargin)
 }
 
-// Announcement is what a front announces about a job that it holds open.
+// Announcement is what a front announces about a job that it holds open. It carries a
+// duration, not a time, since hosts have different clocks.
 type Announcement struct {
 	ID        string
 	Remaining time.Duration // until no run of the job can be alive
--- a/pkg/openjobs/openjobs_test.go
+++ b/pkg/openjobs/openjobs_test.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	ms         = time.Millisecond
-	resubmit   = 1300 * ms
-	runTimeout = 1250 * ms
+	ms              = time.Millisecond
+	resubmitAfter   = 1300 * ms // the time after which callers resubmit a job to another front
+	unrenewedRunTTL = 1250 * ms // how long a run may outlive the last renewal of its lease
 )
 
 func TestJobsAreAnnouncedBeforeResubmission(t *testing.T) {
 	type scenario struct {
-		testName string
-		resubmit time.Duration
-		want     time.Duration
+		testName      string
+		resubmitAfter time.Duration
+		want          time.Duration
 	}
 	scenarios := []scenario{
-		{testName: "the default settings", resubmit: resubmit, want: 800 * ms},
-		{testName: "the minimum that the settings allow", resubmit: 700 * ms, want: 200 * ms},
-		{testName: "less than an announcement takes: announced at once", resubmit: 300 * ms, want: 0},
+		{testName: "the default settings", resubmitAfter: resubmitAfter, want: 800 * ms},
+		{testName: "the minimum that the settings allow", resubmitAfter: 700 * ms, want: 200 * ms},
+		{testName: "shorter than announceMargin: announced at once", resubmitAfter: 300 * ms, want: 0},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := qt.New(t)
-			c.Assert(AnnounceAfter(s.resubmit), qt.Equals, s.want)
-			announcedBy := AnnounceAfter(s.resubmit) + ScanInterval + minBatchInterval + 2*transitTime + maxReceiptDelay
-			c.Assert(announcedBy <= max(s.resubmit, announceMargin), qt.IsTrue)
+			c.Assert(AnnounceAfter(s.resubmitAfter), qt.Equals, s.want)
+			announcedBy := AnnounceAfter(s.resubmitAfter) + ScanInterval + minBatchInterval + 2*transitTime + maxReceiptDelay
+			c.Assert(announcedBy <= max(s.resubmitAfter, announceMargin), qt.IsTrue)
 		})
 	}
 }
 
 // localJobsWith returns local jobs with one that was received at 1 s.
 func localJobsWith(deadline time.Duration) *LocalJobs {
-	l := NewLocalJobs(resubmit, runTimeout)
+	l := NewLocalJobs(resubmitAfter, unrenewedRunTTL)
 	l.Add("a", time.Second, deadline)
 	return l
 }
@@ -51,8 +51,8 @@
 	}
 	scenarios := []scenario{
 		{testName: "a job below the announcing age: nothing", batch: func() []Announcement { return localJobsWith(deadline).NextBatch(1799 * ms) }},
-		{testName: "a job at the announcing age", batch: func() []Announcement { return localJobsWith(deadline).NextBatch(1800 * ms) }, want: []Announcement{{ID: "a", Remaining: 7200*ms + runTimeout}}},
-		{testName: "a job that ends before it can be resubmitted: nothing", batch: func() []Announcement { return localJobsWith(time.Second + resubmit).NextBatch(1800 * ms) }},
+		{testName: "a job at the announcing age", batch: func() []Announcement { return localJobsWith(deadline).NextBatch(1800 * ms) }, want: []Announcement{{ID: "a", Remaining: 7200*ms + unrenewedRunTTL}}},
+		{testName: "a job that ends before it can be resubmitted: nothing", batch: func() []Announcement { return localJobsWith(time.Second + resubmitAfter).NextBatch(1800 * ms) }},
 		{testName: "a job that has ended: nothing", batch: func() []Announcement {
 			l := localJobsWith(deadline)
 			l.Remove("a")
@@ -75,18 +75,18 @@
 			l.Add("c", 1050*ms, deadline)
 			l.Add("b", 1050*ms, deadline)
 			return l.NextBatch(2000 * ms)
-		}, want: []Announcement{{ID: "b", Remaining: 7*time.Second + runTimeout}, {ID: "c", Remaining: 7*time.Second + runTimeout}}},
+		}, want: []Announcement{{ID: "b", Remaining: 7*time.Second + unrenewedRunTTL}, {ID: "c", Remaining: 7*time.Second + unrenewedRunTTL}}},
 		{testName: "all announced jobs for a host that may have missed them", batch: func() []Announcement {
 			l := localJobsWith(deadline)
 			l.NextBatch(1800 * ms)
 			l.Add("b", 1050*ms, deadline)
 			return l.Announced(2 * time.Second)
-		}, want: []Announcement{{ID: "a", Remaining: 7*time.Second + runTimeout}}},
+		}, want: []Announcement{{ID: "a", Remaining: 7*time.Second + unrenewedRunTTL}}},
 		{testName: "runs may outlive the deadline", batch: func() []Announcement {
 			l := localJobsWith(3 * time.Second)
 			l.NextBatch(1800 * ms)
 			return l.Announced(4 * time.Second)
-		}, want: []Announcement{{ID: "a", Remaining: runTimeout}}},
+		}, want: []Announcement{{ID: "a", Remaining: unrenewedRunTTL}}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -114,7 +114,7 @@
 
 // tableWith returns a table in which the front announced a job at 1 s.
 func tableWith(left time.Duration) *Table {
-	table := NewTable(runTimeout)
+	table := NewTable(unrenewedRunTTL)
 	table.Record(front, front.Address, []Announcement{{ID: "a", Remaining: left}}, false, time.Second)
 	return table
 }
@@ -144,7 +144,7 @@
 
 func TestTableIsBounded(t *testing.T) {
 	c := qt.New(t)
-	table := NewTable(runTimeout)
+	table := NewTable(unrenewedRunTTL)
 	var jobs []Announcement
 	for i := range maxEntries + 3 {
 		jobs = append(jobs, Announcement{ID: fmt.Sprint(i), Remaining: time.Minute})
@@ -164,27 +164,27 @@
 		want     time.Duration
 	}
 	scenarios := []scenario{
-		{testName: "runTimeout after the link went down", want: 2*time.Second + runTimeout,
+		{testName: "unrenewedRunTTL after the link went down", want: 2*time.Second + unrenewedRunTTL,
 			happens: func(table *Table) { table.LinkDown(front.Address, 2*time.Second) }},
-		{testName: "link reported down twice: the first time counts", want: 2*time.Second + runTimeout,
+		{testName: "link reported down twice: the first time counts", want: 2*time.Second + unrenewedRunTTL,
 			happens: func(table *Table) {
 				table.LinkDown(front.Address, 2*time.Second)
 				table.LinkDown(front.Address, 3*time.Second)
 			}},
-		{testName: "link down, up and down again: the last time counts", want: 3*time.Second + runTimeout,
+		{testName: "link down, up and down again: the last time counts", want: 3*time.Second + unrenewedRunTTL,
 			happens: func(table *Table) {
 				table.LinkDown(front.Address, 2*time.Second)
 				table.LinkUp(front.Address)
 				table.LinkDown(front.Address, 3*time.Second)
 			}},
-		{testName: "this host was cut off itself until later", want: 3*time.Second + runTimeout,
+		{testName: "this host was cut off itself until later", want: 3*time.Second + unrenewedRunTTL,
 			happens: func(table *Table) { table.LinkDown(front.Address, 2*time.Second); table.ResetLosses(3 * time.Second) }},
-		{testName: "the front has answered through another host since", want: 3*time.Second + runTimeout,
+		{testName: "the front has answered through another host since", want: 3*time.Second + unrenewedRunTTL,
 			happens: func(table *Table) {
 				table.LinkDown(front.Address, 2*time.Second)
 				table.ConfirmAlive(front.Address, 3*time.Second)
 			}},
-		{testName: "the link was never up: when that was noticed counts", want: 4*time.Second + runTimeout, happens: func(table *Table) { table.ConfirmAlive(front.Address, 3*time.Second) }},
+		{testName: "the link was never up: when that was noticed counts", want: 4*time.Second + unrenewedRunTTL, happens: func(table *Table) { table.ConfirmAlive(front.Address, 3*time.Second) }},
 		{testName: "not after the entry expires", want: 6 * time.Second,
 			happens: func(table *Table) { table.LinkDown(front.Address, 5*time.Second) }},
 	}
@@ -230,7 +230,7 @@
 		{testName: "unreachable from its domain, and its runs end soon", replies: []Reply{{Unreachable, now, now + ms}}, want: now + ms, inTable: true},
 		{testName: "unreachable from its domain, but the reply is outdated", replies: []Reply{{Unreachable, now - replyTTL - ms, now}}, want: now + retryInterval, inTable: true},
 		{testName: "unreachable from two hosts of its domain: the later loss counts", replies: []Reply{{Unreachable, now, now}, {Unreachable, now, now + ms}}, want: now + ms, inTable: true},
-		{testName: "this host lost it later than another host: its own loss counts", replies: []Reply{{Unreachable, now, now}}, vantage: sameDomain, want: now + retryInterval, inTable: true},
+		{testName: "this host lost it later than the other host did: the later loss counts", replies: []Reply{{Unreachable, now, now}}, vantage: sameDomain, want: now + retryInterval, inTable: true},
 		{testName: "its domain is unreachable: it may be cut off and go on serving", replies: []Reply{{Verdict: Unanswered}}, want: now + retryInterval, inTable: true},
 	}
 	for _, s := range scenarios {
@@ -254,7 +254,7 @@
 		testName string
 		asker    Front
 		self     string
-		follows  bool
+		follows  bool // the asker has handed the job to an owner already
 		want     bool
 	}
 	scenarios := []scenario{
@@ -280,8 +280,8 @@
 	}
 }
 
-// A front that can't be asked counts as lost from when that was first noticed, and anew
-// after it was reachable in between.
+// The runs of a front that can't be asked end within unrenewedRunTTL after that was first
+// noticed. If the front is reachable again in between, the time starts over.
 func TestSearchTracksUnreachableFronts(t *testing.T) {
 	c := qt.New(t)
 	table := tableWith(20 * time.Second)
@@ -292,10 +292,10 @@
 		return !mayStart
 	}
 	c.Assert(round(false, 2*time.Second), qt.IsTrue)
-	c.Assert(round(false, 2*time.Second+runTimeout-ms), qt.IsTrue)
-	c.Assert(round(true, 2*time.Second+runTimeout), qt.IsTrue)
+	c.Assert(round(false, 2*time.Second+unrenewedRunTTL-ms), qt.IsTrue)
+	c.Assert(round(true, 2*time.Second+unrenewedRunTTL), qt.IsTrue)
 	c.Assert(round(false, 4*time.Second), qt.IsTrue, qt.Commentf("reachable in between"))
-	c.Assert(round(false, 4*time.Second+runTimeout), qt.IsFalse)
+	c.Assert(round(false, 4*time.Second+unrenewedRunTTL), qt.IsFalse)
 }
 
 // A domain that is cut off goes on serving, so jobs of its fronts must not be started
@@ -334,7 +334,7 @@
 
 func TestSearchWaitsForLocalRuns(t *testing.T) {
 	c := qt.New(t)
-	table := NewTable(runTimeout)
+	table := NewTable(unrenewedRunTTL)
 	search := NewSearch("a", 3*time.Second)
 	at, mayStart := search.Next(table, 2*time.Second)
 	c.Assert(at, qt.Equals, 3*time.Second)
@@ -343,8 +343,8 @@
 	c.Assert(mayStart, qt.IsTrue)
 }
 
-// A search may end before the runs that a front has reported do. The next search must wait
-// for these too.
+// A front that no longer holds a job open reports until when its runs may be alive. If the
+// search that received this ends earlier, the next search for the job must wait as well.
 func TestNextSearchWaitsForRunsOfClosedFront(t *testing.T) {
 	c := qt.New(t)
 	table := tableWith(5 * time.Second)
@@ -366,7 +366,7 @@
 	search := NewSearch("a", 0)
 	search.HandleReplies(table, search.Round(table, now)[0], []Reply{{Verdict: Busy}}, sameDomain, true, now)
 	c.Assert(search.Round(table, now+retryInterval), qt.HasLen, 1)
-	c.Assert(search.Round(table, now+runTimeout), qt.HasLen, 0)
+	c.Assert(search.Round(table, now+unrenewedRunTTL), qt.HasLen, 0)
 	table = tableWith(time.Second + ms)
 	c.Assert(search.ShouldYield(table, front, "zone:1", false, now), qt.IsTrue)
 	c.Assert(search.Round(table, now+retryInterval), qt.HasLen, 1, qt.Commentf("also after yielding to it"))
--- a/pkg/openjobs/search.go
+++ b/pkg/openjobs/search.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// retryInterval is how soon a front that gave no final answer is asked again. The job does
-// not start before, so it bounds the delay that this adds for the caller.
+// retryInterval is the longest time between two rounds of a search in which a front gave no
+// final answer. The search ends only after a round, so the job may start by up to this time
+// later than it could.
 const retryInterval = 100 * time.Millisecond
 
-// replyTTL is how long an Unreachable reply is valid. While another host is slow to reply,
-// the front may become reachable again and hand its job to an owner after ResyncDelay,
-// which is longer.
+// replyTTL is how long after its receipt an Unreachable reply is valid. It is shorter than
+// ResyncDelay: if the front becomes reachable again while another host is slow to reply, the
+// front waits for ResyncDelay before it hands its job to an owner.
 const replyTTL = 200 * time.Millisecond
 
 // Verdict is the result of asking a host about a front.
 type Verdict uint8
 
-// Verdicts. There is none for a job that has ended, as its search is over.
+// Verdicts. There is none for a reply with the outcome of the job, which ends the search.
 const (
 	Unanswered  Verdict = iota
 	NotOpen             // the front doesn't hold the job open
 	Unreachable         // the host is of the front's domain, and can't reach the front either
 	Yields              // the front searches for the job too, and lets the asker go first
-	Busy                // the front is alive, and has to be asked again
+	Busy                // no final answer: the front searches for the job itself, or the link to it broke; it counts as alive and is asked again
 )
 
 // Reply is the answer of one host.
 type Reply struct {
 	Verdict   Verdict
-	At        time.Duration
-	RunsEndBy time.Duration // no run of the job can be alive then, if NotOpen, Yields or Unreachable
+	At        time.Duration // when the asker received it
+	RunsEndBy time.Duration // when none of the front's runs of the job can be alive any more, if NotOpen, Yields or Unreachable
 }
 
 // Search looks for the front that holds an earlier submission of a job open. In each round
@@ -39,14 +40,14 @@
 type Search struct {
 	id                  string
 	checked             map[Front]bool          // fronts that were asked in this round, or are known to have closed the job
-	yieldedTo           map[string]bool         // addresses of fronts that may go first; their replies from before are outdated
-	resolvedRunsEndBy   time.Duration           // no run can be alive then of fronts that gave a final answer
-	unresolvedRunsEndBy time.Duration           // the same for fronts that gave none in this round
-	unreachableSince    map[Front]time.Duration // by front that can't be asked
+	yieldedTo           map[string]bool         // addresses of fronts that this search let go first in this round; a NotOpen reply from before doesn't close their entries
+	resolvedRunsEndBy   time.Duration           // when no run of this host, or of a front that gave a final answer, can be alive any more
+	unresolvedRunsEndBy time.Duration           // the same for fronts that gave no final answer in this round
+	unreachableSince    map[Front]time.Duration // by front that can't be asked: when that was first noticed
 }
 
-// NewSearch begins a search for a job. No run of it that this host managed itself can be
-// alive at runsEndBy.
+// NewSearch begins a search for a job. runsEndBy is when the runs of an earlier submission
+// to this front itself can't be alive any more; 0 if there are none.
 func NewSearch(id string, runsEndBy time.Duration) *Search {
 	return &Search{id: id, resolvedRunsEndBy: runsEndBy, checked: map[Front]bool{}, yieldedTo: map[string]bool{}, unreachableSince: map[Front]time.Duration{}}
 }
@@ -68,10 +69,12 @@
 	return asked
 }
 
-// HandleReplies records the replies about a front, by all contacts up to the first with a
-// final answer. isUp says that the link to the front itself is up. If several hosts can't
-// reach the front, the one that lost it last counts: the others may have been cut off from
-// it while it was running.
+// HandleReplies records the replies about one front. The contacts are asked in turn until
+// one gives a final answer (NotOpen or Yields); replies holds the answers of all that were
+// asked. isUp says that the link to the front itself is up; a front with a Busy reply, or
+// with an outdated Unreachable reply, is handled as if its link were up. If several hosts
+// can't reach the front, the one that lost it last counts: the others may have been cut off
+// from it while it was running.
 func (s *Search) HandleReplies(t *Table, e Entry, replies []Reply, vantage Vantage, isUp bool, now time.Duration) {
 	s.checked[e.Front] = true
 	if slices.ContainsFunc(replies, func(r Reply) bool { return r.Verdict == Busy }) {
@@ -131,9 +134,10 @@
 }
 
 // ShouldYield reports whether this search lets another front go first, which searches for
-// the job too and asks about it. It does only if it knows of that front, and so will ask it
-// again before it starts the job. An asker that has handed the job to an owner before
-// (follows) always goes first.
+// the job too and asks this one about it. This search yields only to a front of which it
+// has an open entry, since it then asks that front again before it starts the job. It yields
+// to an asker with a lower address, and to any asker that has handed the job to an owner
+// before (follows).
 func (s *Search) ShouldYield(t *Table, asker Front, self string, follows bool, now time.Duration) bool {
 	isAsker := func(e Entry) bool {
 		return !e.closed && e.Front.Address == asker.Address && e.Front.Process == asker.Process
--- a/pkg/openjobs/table.go
+++ b/pkg/openjobs/table.go
@@ -35,21 +35,22 @@
 
 // Table holds the jobs that other fronts hold open. It is not safe for concurrent use.
 type Table struct {
-	runTimeout time.Duration
-	byID       map[string][]*Entry
-	count      int
-	sweptAt    time.Duration
-	lostAt     map[string]time.Duration // by address: when the link to a host went down
+	unrenewedRunTTL time.Duration
+	byID            map[string][]*Entry
+	count           int
+	sweptAt         time.Duration
+	lostAt          map[string]time.Duration // by address: when the link to a host went down
 }
 
-// NewTable returns an empty table. runTimeout is the time after which a run whose lease
-// isn't renewed can't be alive.
-func NewTable(runTimeout time.Duration) *Table {
-	return &Table{runTimeout: runTimeout, byID: map[string][]*Entry{}, lostAt: map[string]time.Duration{}}
+// NewTable returns an empty table. unrenewedRunTTL is the time after its last renewal at
+// which a run can't be alive any more.
+func NewTable(unrenewedRunTTL time.Duration) *Table {
+	return &Table{unrenewedRunTTL: unrenewedRunTTL, byID: map[string][]*Entry{}, lostAt: map[string]time.Duration{}}
 }
 
-// Record adds the jobs of a front that a host announced, and returns how many were dropped
-// because the table is full.
+// Record adds the jobs of a front that a host, the reporter, announced, and returns how many
+// were dropped because the table is full. relay says that this host relays announcements of
+// these jobs within its domain (ToRelay).
 func (t *Table) Record(front Front, reporter string, jobs []Announcement, relay bool, now time.Duration) (dropped int) {
 	t.sweep(now)
 	for _, job := range jobs {
@@ -109,12 +110,12 @@
 // the caller may have resubmitted the job there after the front's last announcement.
 func (t *Table) extend(id string, front Front, now time.Duration) {
 	if e := t.entry(id, front); e != nil {
-		e.ExpiresAt = max(e.ExpiresAt, now+t.runTimeout)
+		e.ExpiresAt = max(e.ExpiresAt, now+t.unrenewedRunTTL)
 	}
 }
 
-// MarkClosed records that a front does not hold a job open, and that no run of the job can
-// be alive at runsEndBy.
+// MarkClosed records that a front does not hold a job open, and that none of its runs of the
+// job can be alive at runsEndBy. The entry is removed if that time has passed.
 func (t *Table) MarkClosed(id string, front Front, runsEndBy, now time.Duration) {
 	if e := t.entry(id, front); e != nil && now < runsEndBy {
 		e.closed = true
@@ -190,16 +191,16 @@
 }
 
 // RunsEndBy returns when no run of a job can be alive whose front is unreachable. noticed
-// is used as the time of the loss if none is recorded. Only a host of the front's own
-// domain can tell: for such a host the front is dead, or cut off from the owners at which
-// it renewed leases. For other hosts the front may be unreachable because its domain is cut
-// off and goes on serving.
+// is used as the time of the loss if no loss of the link is recorded. Only a host of the
+// front's own domain can tell: for such a host the front is dead, or cut off from the owners
+// at which it renewed leases. For other hosts the front may be unreachable because its
+// domain is cut off and goes on serving.
 func (t *Table) RunsEndBy(e Entry, noticed time.Duration) time.Duration {
 	lostAt, known := t.lostAt[e.Front.Address]
 	if !known {
 		lostAt = noticed
 	}
-	return min(e.ExpiresAt, lostAt+t.runTimeout)
+	return min(e.ExpiresAt, lostAt+t.unrenewedRunTTL)
 }
 
 // ToRelay returns the announcements that this host relays within its domain, by front, for
