--- a/pkg/member/hubs.go
+++ b/pkg/member/hubs.go
@@ -106,8 +106,9 @@
 	return HubTest{table: t, ownHubs: own}
 }
 
-// IsHub reports whether a host is a hub. All hosts of small domains and all hosts that
-// aren't listed yet count as hubs. Unreachable hosts are replaced only in the own domain.
+// IsHub reports whether a host is a hub, and so may own cells and read the store for its
+// domain. Unreachable hubs are replaced only in the own domain. It is also true for all
+// hosts of small domains and hosts that aren't listed yet.
 func (h HubTest) IsHub(address, domain string) bool {
 	hosts := h.table.domains[domain]
 	if _, listed := h.table.listed[address]; !hosts.isLarge() || !listed {
