--- a/pkg/member/member.go
+++ b/pkg/member/member.go
@@ -19,11 +19,11 @@
 const gossipTTL = 30 * time.Second
 
 // A host that stopped as planned may start again and then know no other host: its row was
-// removed, and it may not reach the platform. So some hosts of its domain keep dialling it
-// for a while.
+// removed, and it may not reach the platform. So some hosts of each domain that had links
+// to it keep dialling it for a while.
 const (
 	redialPeriod = 30 * time.Second
-	redialers    = 4 // hosts of a domain that dial each host that has left
+	redialers    = 4 // hosts of a domain that dial each host that has left (leftAt)
 )
 
 // Listed is a host in the platform's list, which may be outdated or wrong.
@@ -57,8 +57,8 @@
 	listed           map[string]Listed        // by address
 	gossip           map[string]time.Duration // by address: time of the last announcement
 	up               map[string]Peer          // by address: links that are up
-	leftAt           map[string]time.Duration // by address: when hosts stopped as planned
-	unreachableSince map[string]time.Duration // by address, for hubs
+	leftAt           map[string]time.Duration // by address: when hosts that have not come back stopped as planned
+	unreachableSince map[string]time.Duration // by address: since when hubs are unreachable
 	domains          map[string]rankedHosts   // listed hosts by domain
 	remoteLinks      []string                 // hosts of other domains to keep links to
 }
@@ -168,6 +168,7 @@
 	delete(t.up, address)
 }
 
+// hasLeft reports whether a host has stopped as planned and not come back since.
 func (t *Table) hasLeft(address string) bool {
 	_, left := t.leftAt[address]
 	return left
@@ -217,8 +218,8 @@
 	return slices.Sorted(maps.Keys(wanted))
 }
 
-// shouldRedial reports whether this host is among those of its domain that dial a host that
-// has left.
+// shouldRedial reports whether this host is among the redialers of its own domain for a host
+// that has left, which may be of any domain.
 func (t *Table) shouldRedial(address string) bool {
 	own := Score(address, t.self.Address)
 	before := 0
--- a/pkg/openjobs/openjobs.go
+++ b/pkg/openjobs/openjobs.go
@@ -32,8 +32,8 @@
 	announceMargin = ScanInterval + minBatchInterval + 2*transitTime + maxReceiptDelay
 )
 
-// ResyncDelay is how long a front that was unreachable or suspended waits before it hands
-// a job to an owner that may have been resubmitted meanwhile. By then the other hosts have
+// ResyncDelay is how long a front that was unreachable or suspended waits before it hands a
+// job, which may have been resubmitted meanwhile, to an owner. By then the other hosts have
 // reconnected, which they attempt every 0.3 s with a jitter of a quarter, and have
 // announced their open jobs.
 const ResyncDelay = 450 * time.Millisecond
--- a/pkg/rtt/estimator.go
+++ b/pkg/rtt/estimator.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Weights of a new sample, from RFC 6298.
+// Factors from RFC 6298: the weights of a new sample, and the margin of a timeout.
 const (
 	meanGainInverse      = 8 // alpha is 1/8
 	deviationGainInverse = 4 // beta is 1/4
-	deviations           = 4 // by which a timeout exceeds the mean
+	deviations           = 4 // number of deviations by which a timeout exceeds the mean
 )
 
 // Estimator keeps the mean and the deviation of round-trip times. It is safe for concurrent
