--- a/pkg/keeping/isolation.go
+++ b/pkg/keeping/isolation.go
@@ -24,12 +24,15 @@
 	probeID       = "probe" // no job has this id
 )
 
-// storeReach records when the store last answered.
+// storeReach records when the store last answered. The time at which this host last reached
+// at least half of the hosts counts as such an answer, because it does not probe the store
+// then.
 type storeReach struct {
 	answered atomic.Int64 // time of this process's clock
-	isolated atomic.Bool
+	isolated atomic.Bool  // this host dispatches nothing
 }
 
+// recordAnswer records that the store answered, or need not be probed, at now.
 func (r *storeReach) recordAnswer(now time.Duration) { r.answered.Store(int64(now)) }
 
 // isUnresponsive reports whether the store has not answered for isolationTimeout.
@@ -37,7 +40,8 @@
 	return now > time.Duration(r.answered.Load())+isolationTimeout
 }
 
-// watchIsolation determines whether this host is isolated, until ctx ends.
+// watchIsolation determines whether this host is isolated, until ctx ends. It probes the
+// store only while this host reaches less than half of the hosts.
 func (s *Service) watchIsolation(ctx context.Context) {
 	s.storeReach.recordAnswer(s.Clock.Now())
 	for common.Sleep(ctx, probeInterval) {
--- a/pkg/keeping/partition.go
+++ b/pkg/keeping/partition.go
@@ -25,12 +25,12 @@
 	followers     map[string]*follower
 	timer         *time.Timer // wakes the next write
 	isCoordinator bool
-	viewVersion   uint64 // Host.ViewVersion when the coordinators were last computed
-	readings      int    // completed since the coordinators may have changed, including one in progress at that time
-	nextRead      time.Duration
+	viewVersion   uint64        // Host.ViewVersion when the coordinators were last computed
+	readings      int           // completed since the coordinators may have changed, including one in progress at that time
+	nextRead      time.Duration // when the next reading is due
 	lastRead      time.Duration // when the last reading ended
-	reading       bool
-	clockKnown    bool // the store's clock is known
+	reading       bool          // a reading is in progress
+	clockKnown    bool          // the store's clock is known
 }
 
 func newPartition(s *Service, number int) *partition {
--- a/pkg/kept/coordinator.go
+++ b/pkg/kept/coordinator.go
@@ -76,8 +76,10 @@
 	offset time.Duration // of the store's clock to this process's clock
 }
 
+// observe records the store's clock at a time of this process's clock.
 func (s *storeClock) observe(store, now time.Duration) { s.known, s.offset = true, store-now }
 
+// at returns the store's clock at a time of this process's clock.
 func (s *storeClock) at(now time.Duration) time.Duration { return now + s.offset }
 
 // ObserveClock records the store's clock from a response. Nothing is written before the
@@ -322,6 +324,7 @@
 	co.removeOpen(id)
 }
 
+// refusal returns the answer to a call whose job is not kept.
 func refusal(reason string) Answer {
 	return Answer{Verdict: Refused, Reason: reason, RetryAfter: retryDelay}
 }
@@ -380,6 +383,7 @@
 	co.effects.Follow = append(co.effects.Follow, FollowRequest{Record: e.record, Epoch: epoch, AsOf: asOf})
 }
 
+// answer answers a call about a job that has not ended.
 func (co *Coordinator) answer(number uint64, answer Answer) {
 	co.effects.Answers = append(co.effects.Answers, CallAnswer{Call: number, Answer: answer})
 }
