--- a/pkg/cell/cell.go
+++ b/pkg/cell/cell.go
@@ -242,14 +242,14 @@
 	c.advance(now)
 }
 
-// PauseStarts suspends starts until a time. A process that was suspended pauses its cells until it
-// has learned how the other hosts reacted to its missing heartbeats.
+// PauseStarts suspends starts until a time. A process that was suspended pauses its cells until
+// it has learned how the other hosts reacted to its missing heartbeats.
 func (c *Cell) PauseStarts(until time.Duration) {
 	c.pausedUntil = until
 }
 
-// NeedsTicks reports whether the cell needs ticks: it has jobs or runs, or executors that it has not
-// adopted.
+// NeedsTicks reports whether the cell needs ticks: it has jobs or runs, or executors that it has
+// not adopted.
 func (c *Cell) NeedsTicks() bool {
 	if len(c.jobs) > 0 {
 		return true
--- a/pkg/cell/checkpoint.go
+++ b/pkg/cell/checkpoint.go
@@ -26,8 +26,8 @@
 	Progress []job.Progress
 }
 
-// CountEnds returns how many ends of tasks a job's progress includes. It never decreases while the
-// job is at its owner.
+// CountEnds returns how many ends of tasks a job's progress includes. It never decreases while
+// the job is at its owner.
 func CountEnds(progress []job.Progress) int {
 	ends := 0
 	for _, p := range progress {
--- a/pkg/cell/explore_orders_test.go
+++ b/pkg/cell/explore_orders_test.go
@@ -60,8 +60,8 @@
 	handle(event func())
 }
 
-// transport carries commands and answers between owners and model executors. Unless calm, it loses,
-// delays or leaves unanswered some commands, or carries them out seconds later.
+// transport carries commands and answers between owners and model executors. Unless calm, it
+// loses, delays or leaves unanswered some commands, or carries them out seconds later.
 type transport struct {
 	timeline
 	executors []*modelExecutor
--- a/pkg/cell/kept.go
+++ b/pkg/cell/kept.go
@@ -26,8 +26,8 @@
 	noExecutorTimeout = 3 * time.Second
 )
 
-// ReasonNoUsableExecutor marks a kept job that was returned to its front because no executor here can run
-// it. It has no runs here, so any other cell may start it at once.
+// ReasonNoUsableExecutor marks a kept job that was returned to its front because no executor here
+// can run it. It has no runs here, so any other cell may start it at once.
 const ReasonNoUsableExecutor = "no_usable_executor"
 
 // LeavesNoRuns reports whether a job that was returned for a reason has no runs in the cell, so
--- a/pkg/metrics/node.go
+++ b/pkg/metrics/node.go
@@ -127,7 +127,8 @@
 	n.response.Record(context.Background(), took.Seconds(), n.labels.pair("route", route, "outcome", outcome))
 }
 
-// CommandAnswered counts a command to an executor by its verdict, which may be that no answer came.
+// CommandAnswered counts a command to an executor by its verdict, which may be that no answer
+// came.
 func (n *Node) CommandAnswered(kind, verdict string) {
 	n.orders.Add(context.Background(), 1, n.labels.pair("kind", kind, "verdict", verdict))
 }
--- a/pkg/node/openjobs.go
+++ b/pkg/node/openjobs.go
@@ -235,8 +235,8 @@
 	n.resendAnnouncements(address, hello.Domain)
 }
 
-// resendAnnouncements sends a host the announcements that it may have missed or lost: this host's own,
-// and those that this host relays in its domain.
+// resendAnnouncements sends a host the announcements that it may have missed or lost: this host's
+// own, and those that this host relays in its domain.
 func (n *Node) resendAnnouncements(address, domain string) {
 	now := n.Clock.Now()
 	n.openJobTable.mu.Lock()
--- a/pkg/node/pace.go
+++ b/pkg/node/pace.go
@@ -43,16 +43,17 @@
 	return !up || peer.Domain == n.settings.Domain
 }
 
-// hasFrequentHeartbeats reports whether heartbeats to another node are frequent even without a job
-// there, because this node may claim its cells.
+// hasFrequentHeartbeats reports whether heartbeats to another node are frequent even without a
+// job there, because this node may claim its cells.
 func (n *Node) hasFrequentHeartbeats(address string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.isHub.Load() && n.claims.OwnsIn(address, n.settings.Domain)
 }
 
-// updateShortOfCapacity updates whether this domain is short of capacity, so that jobs may have to go
-// to other domains. Heartbeats to owners there are then frequent, to keep their loads fresh.
+// updateShortOfCapacity updates whether this domain is short of capacity, so that jobs may have
+// to go to other domains. Heartbeats to owners there are then frequent, to keep their loads
+// fresh.
 func (n *Node) updateShortOfCapacity() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
