--- a/pkg/cell/explore_test.go
+++ b/pkg/cell/explore_test.go
@@ -13,33 +13,33 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The explorer plays owners against model executors in simulated time, with
-// orders that are lost, answered by silence, or carried out seconds later, and
-// with owners that are replaced, stand still and wake. Every run must be the
-// only one of its task.
+// This explorer simulates the owners of a cell and model executors. Commands are lost,
+// left unanswered, or carried out seconds later; owners are replaced, or freeze and wake;
+// and fronts crash. No task may run twice at once.
 
 const (
 	exploreStep = 5 * ms
 	exploreTime = 20 * time.Second
-	// orderListening is how long a call that is overdue is listened to.
+	// orderListening is how long the answer to an overdue command is still awaited.
 	orderListening = 300 * ms
-	frontSuspects  = 600 * ms // a front gives an owner up, and an owner a front
-	callerResends  = 1300 * ms
-	renewalAge     = 150 * ms // of what an owner knows of a front
+	frontSuspects  = 600 * ms  // until a front suspects an unresponsive owner, or an owner a front
+	callerResends  = 1300 * ms // until a caller resubmits a job after its connection has closed
+	renewalAge     = 150 * ms  // age of the newest renewal that an owner has received from a front
 )
 
-// world is one play of the explorer.
+// world is the state of one simulation.
 type world struct {
 	orders
 	owners []*modelOwner
-	ended  int
+	ended  int // jobs
 }
 
+// modelOwner is an owner of the cell.
 type modelOwner struct {
 	modelProcess
 	world *world
 	cell  *Cell
-	jobs  map[string]*modelJob
+	jobs  map[string]*modelJob // by id
 }
 
 func (o *modelOwner) state() *Cell           { return o.cell }
@@ -47,7 +47,7 @@
 
 func (o *modelOwner) handle(event func()) {
 	event()
-	o.world.drain(o)
+	o.world.applyActions(o)
 }
 
 // modelJob is a job as its front sees it.
@@ -56,10 +56,10 @@
 	epoch int
 	owner *modelOwner
 
-	frontless bool // its front is gone
+	frontless bool // its front has crashed
 }
 
-// newOwner makes an owner with a token above the others'.
+// newOwner adds an owner whose token is higher than those of all former ones.
 func (w *world) newOwner() *modelOwner {
 	o := &modelOwner{world: w, cell: New(DefaultParams(time.Second, testJobLease, 50*ms), int64(len(w.owners)+1), w.now), jobs: map[string]*modelJob{}}
 	w.owners = append(w.owners, o)
@@ -69,12 +69,13 @@
 	}
 	o.cell.MarkListComplete()
 	o.cell.SetExecutors(listed, w.now)
-	w.drain(o)
+	w.applyActions(o)
 	return o
 }
 
-// drain carries out what an owner asks for.
-func (w *world) drain(o *modelOwner) {
+// applyActions carries out the commands of an owner's cell. It hands the jobs that the cell
+// returns over to the newest owner, and counts those that ended.
+func (w *world) applyActions(o *modelOwner) {
 	commands, finished, _ := o.cell.TakeActions()
 	for _, f := range finished {
 		m := o.jobs[f.ID]
@@ -93,7 +94,7 @@
 	}
 }
 
-// handOn gives a job to the newest owner.
+// handOn hands a job over to the newest owner.
 func (w *world) handOn(m *modelJob, progress []job.Progress) {
 	if m.frontless {
 		return
@@ -102,6 +103,8 @@
 	w.submit(w.owners[len(w.owners)-1], m, progress)
 }
 
+// submit submits a job to an owner. If the owner is fenced, the front retries with the
+// newest one.
 func (w *world) submit(o *modelOwner, m *modelJob, progress []job.Progress) {
 	if o.cell.Fenced() {
 		w.after(20*ms, func() { w.submit(w.owners[len(w.owners)-1], m, progress) })
@@ -112,14 +115,14 @@
 	}
 	m.owner = o
 	o.jobs[m.job.ID] = m
-	o.cell.Submit(Handover{Job: m.job, Epoch: m.epoch, Progress: progress, RenewedAt: w.renewal()}, w.now)
-	w.drain(o)
+	o.cell.Submit(Handover{Job: m.job, Epoch: m.epoch, Progress: progress, RenewedAt: w.renewedAt()}, w.now)
+	w.applyActions(o)
 }
 
-// renewal returns the time up to which owners know of fronts that live.
-func (w *world) renewal() time.Duration { return max(1, w.now-renewalAge) }
+// renewedAt returns the newest timestamp at which owners know that the live fronts waited.
+func (w *world) renewedAt() time.Duration { return max(1, w.now-renewalAge) }
 
-// renew has the fronts renew their jobs at all owners that are awake.
+// renew has the live fronts renew their jobs at the owners that are awake.
 func (w *world) renew() {
 	for _, o := range w.owners {
 		if o.dead || w.now < o.frozen {
@@ -127,38 +130,39 @@
 		}
 		for id, m := range o.jobs {
 			if !m.frontless && m.owner == o {
-				o.cell.Renew([]string{id}, w.renewal(), w.now)
+				o.cell.Renew([]string{id}, w.renewedAt(), w.now)
 			}
 		}
 	}
 }
 
-// trouble brings a fault now and then.
-func (w *world) trouble() {
+// injectFault injects a random fault in some steps.
+func (w *world) injectFault() {
 	current := w.owners[len(w.owners)-1]
 	switch w.random.IntN(600) {
 	case 0, 1: // an executor is cut off for a while
 		e := w.executors[w.random.IntN(len(w.executors))]
 		e.cut = true
 		w.after(time.Duration(w.random.IntN(3000))*ms, func() { e.cut = false })
-	case 2: // planned: the next owner takes over and tells the former one
+	case 2: // a new owner takes over gracefully and notifies the former one
 		next := w.newOwner()
 		w.after(20*ms, func() {
 			current.cell.Release("taken over")
-			w.drain(current)
-			w.drain(next)
+			w.applyActions(current)
+			w.applyActions(next)
 		})
-	case 3: // the owner stands still, is taken for lost, and wakes
+	case 3: // the owner freezes, and is replaced if it doesn't wake within frontSuspects
 		current.frozen = w.now + time.Duration(w.random.IntN(4000))*ms
-		w.after(frontSuspects, func() { w.lose(current) })
+		w.after(frontSuspects, func() { w.replaceFrozenOwner(current) })
 	}
 }
 
-// lose hands the jobs of a silent owner to a new one. The silent one learns of
-// it when it wakes, by the ends of its links.
-func (w *world) lose(o *modelOwner) {
+// replaceFrozenOwner adds a new owner and hands the jobs of a frozen one over to it. When
+// the frozen owner wakes, it pauses its starts, and it withdraws its jobs once it has
+// detected that the links to their fronts have ended.
+func (w *world) replaceFrozenOwner(o *modelOwner) {
 	if w.now >= o.frozen {
-		return // it woke in time
+		return // it woke before it was suspected
 	}
 	w.newOwner()
 	for _, id := range slices.Sorted(maps.Keys(o.jobs)) {
@@ -172,28 +176,29 @@
 			for _, id := range slices.Sorted(maps.Keys(o.jobs)) {
 				o.cell.Withdraw(id, "front gone", w.now)
 			}
-			w.drain(o)
+			w.applyActions(o)
 		})
 	})
 }
 
-// arrive hands a job in, whole or in parts. Now and then its front dies, and its
-// caller sends it again by another one, which splits it otherwise.
+// arrive submits a new job. The front of one job in ten crashes; the caller then resubmits
+// the job to another front, which may split it differently.
 func (w *world) arrive(j *job.Job) {
-	handed := w.submitSplit(j)
+	submitted := w.submitSplit(j)
 	if w.random.IntN(10) > 0 {
 		return
 	}
 	w.after(time.Duration(w.random.IntN(400))*ms, func() {
-		for _, m := range handed {
-			w.loseFront(m)
+		for _, m := range submitted {
+			w.crashFront(m)
 		}
 		w.after(callerResends, func() { w.submitSplit(j) })
 	})
 }
 
-// loseFront has owners miss the front of a job.
-func (w *world) loseFront(m *modelJob) {
+// crashFront crashes the front of a job. The job's owner withdraws the job once it
+// suspects the front.
+func (w *world) crashFront(m *modelJob) {
 	m.frontless = true
 	w.after(frontSuspects, func() {
 		for _, o := range w.owners {
@@ -204,23 +209,24 @@
 	})
 }
 
-// submitSplit hands a job to the newest owner, half of the time in two parts.
+// submitSplit submits a job to the newest owner. It splits half of the jobs that have
+// several tasks into two parts.
 func (w *world) submitSplit(j *job.Job) []*modelJob {
 	parts := []*job.Job{j}
 	if count := j.Steps[0].Count; count > 1 && w.random.IntN(2) == 0 {
 		first := 1 + w.random.IntN(count-1)
 		parts = j.Split([]int{first, count - first})
 	}
-	var handed []*modelJob
+	var submitted []*modelJob
 	for _, part := range parts {
 		m := &modelJob{job: part, epoch: 1}
 		w.submit(w.owners[len(w.owners)-1], m, nil)
-		handed = append(handed, m)
+		submitted = append(submitted, m)
 	}
-	return handed
+	return submitted
 }
 
-// explore plays one seed and returns the double runs and the jobs that ended.
+// explore simulates a seed. It returns the double runs and the number of jobs that ended.
 func explore(seed uint64) ([]string, int) {
 	w := &world{}
 	w.random = rand.New(rand.NewPCG(seed, 1))
@@ -236,7 +242,7 @@
 			jobs++
 			w.arrive(testJob(fmt.Sprintf("job%d", jobs), 1+w.random.IntN(4), w.now))
 		}
-		w.trouble()
+		w.injectFault()
 		w.renew()
 		w.fire()
 		w.tick()
@@ -244,16 +250,18 @@
 	return w.doubles, w.ended
 }
 
-// tick lets time pass at the owners that are awake.
+// tick advances the cells of the owners that are awake to the current time.
 func (w *world) tick() {
 	for _, o := range w.owners {
 		if w.now >= o.frozen && !o.dead {
 			o.cell.Tick(w.now)
-			w.drain(o)
+			w.applyActions(o)
 		}
 	}
 }
 
+// Guards against tasks that run twice at once when commands are lost or late, or owners
+// freeze or are replaced.
 func TestExploredRunsAreNeverDoubled(t *testing.T) {
 	c := qt.New(t)
 	const plays = 150
