--- a/pkg/admit/admit.go
+++ b/pkg/admit/admit.go
@@ -6,57 +6,59 @@
 	"github.com/foxcroft/foxcroft/pkg/errkind"
 )
 
-// shortestReturn is the least time that a refused caller is told to wait.
-const shortestReturn = 50 * time.Millisecond
+// minRetryAfter is the shortest RetryAfter of a refusal.
+const minRetryAfter = 50 * time.Millisecond
 
-// Load is what an admission decision looks at.
+// Load is the input of an admission decision.
 type Load struct {
-	Waiting     int           // tasks that wait at this host
-	TeamWaiting int           // those of the job's team
-	Capacity    int           // slots that this host can use
+	Waiting     int           // queued tasks of all teams
+	TeamWaiting int           // queued tasks of the job's team
+	Capacity    int           // slots that can be used
 	Weight      int           // of the job's team
-	WeightSum   int           // of the teams with work
-	Quota       int           // of the job's team; 0 for no limit
-	MeanTask    time.Duration // over recent tasks
-	MaxQueue    int           // tasks of one team that may wait
+	WeightSum   int           // of all teams with queued or running tasks
+	Quota       int           // slots that the job's team may hold at once; 0 for no limit
+	MeanTask    time.Duration // mean duration of recent tasks; 0 before the first
+	MaxQueue    int           // queued tasks allowed per team
 }
 
-// Decide returns nil when a job of the given tasks is taken in, or why not.
-// left is the time to its deadline; unit, a random number in [0, 1), spreads
-// the times to come back.
+// Decide returns nil if a job with the given number of tasks is admitted, and
+// the refusal otherwise. left is the time until its deadline. unit, a random
+// number in [0, 1), spreads the RetryAfter of refusals.
 func Decide(load Load, tasks int, left time.Duration, unit float64) *errkind.Error {
 	if load.Capacity <= 0 {
-		return refuse(errkind.NoTarget, time.Second, unit, "no target of the pool can be used from here")
+		return refuse(errkind.NoTarget, time.Second, unit, "the pool has no usable target")
 	}
 	if load.TeamWaiting > 0 && load.TeamWaiting+tasks > load.MaxQueue {
-		drain := load.drain(load.TeamWaiting + tasks - load.MaxQueue)
+		drain := load.drainTime(load.TeamWaiting + tasks - load.MaxQueue)
 		return refuse(errkind.Overloaded, drain, unit, "the team has %d tasks waiting, and %d more exceed max_queue = %d", load.TeamWaiting, tasks, load.MaxQueue)
 	}
 	if left <= 0 {
 		return refuse(errkind.DeadlineTooShort, 0, unit, "the deadline has passed")
 	}
-	expected := load.Expect(tasks)
+	expected := load.ExpectedDuration(tasks)
 	if expected > left {
 		return refuse(errkind.Overloaded, expected-left, unit, "the job would take about %s and its deadline is in %s", expected.Round(time.Millisecond), left.Round(time.Millisecond))
 	}
 	return nil
 }
 
-// Expect returns about how long a job of the given tasks would take now.
-func (l Load) Expect(tasks int) time.Duration {
+// ExpectedDuration estimates how long a job with the given number of tasks
+// would take if it were admitted now, including its time in the queue.
+func (l Load) ExpectedDuration(tasks int) time.Duration {
 	if l.MeanTask == 0 {
-		return 0 // nothing measured yet
+		return 0 // no task has ended yet
 	}
-	return min(l.drain(l.Waiting+tasks), l.teamDrain(l.TeamWaiting+tasks)) + l.MeanTask
+	return min(l.drainTime(l.Waiting+tasks), l.teamDrainTime(l.TeamWaiting+tasks)) + l.MeanTask
 }
 
-// drain returns how long the pool takes to start n waiting tasks.
-func (l Load) drain(n int) time.Duration {
+// drainTime estimates how long the pool takes to start n queued tasks.
+func (l Load) drainTime(n int) time.Duration {
 	return time.Duration(float64(l.MeanTask) * float64(n-1) / float64(max(1, l.Capacity)))
 }
 
-// teamDrain returns how long the team's own share takes to start n tasks.
-func (l Load) teamDrain(n int) time.Duration {
+// teamDrainTime estimates how long the team takes to start n queued tasks with
+// no more than its fair share of the slots.
+func (l Load) teamDrainTime(n int) time.Duration {
 	share := float64(l.Capacity) * float64(l.Weight) / float64(max(1, l.WeightSum))
 	if l.Quota > 0 {
 		share = min(share, float64(l.Quota))
@@ -64,10 +66,10 @@
 	return time.Duration(float64(l.MeanTask) * float64(n-1) / max(1, share))
 }
 
-// refuse makes a refusal with a time to come back, spread over as much again
-// so that refused callers do not return together.
+// refuse returns a refusal whose RetryAfter lies between wait and twice wait,
+// so that callers refused together do not retry together.
 func refuse(kind errkind.Kind, wait time.Duration, unit float64, format string, args ...any) *errkind.Error {
-	wait = max(shortestReturn, wait)
+	wait = max(minRetryAfter, wait)
 	err := errkind.New(kind, "submit a new id when the time to come back has passed, or allow a longer deadline", format, args...)
 	err.RetryAfter = wait + time.Duration(unit*float64(wait))
 	return err
--- a/pkg/admit/admit_test.go
+++ b/pkg/admit/admit_test.go
@@ -56,8 +56,7 @@
 	}
 }
 
-// TestFewestDoesNotStarve: a large job is overtaken by later small ones only
-// within a bound.
+// Guards against starvation of a large job by later small ones under "fewest".
 func TestFewestDoesNotStarve(t *testing.T) {
 	q := newQueue("fewest", map[string]Share{"t": {Weight: 1}})
 	add(q, "large", "t", 100, 0, time.Minute)
@@ -65,11 +64,11 @@
 		now := time.Duration(i) * time.Millisecond
 		add(q, "small", "t", 1, now, time.Minute)
 		if q.Next().Job == "large" {
-			qt.Assert(t, now <= 100*patiencePerTask, qt.IsTrue)
+			qt.Assert(t, now <= 100*delayPerTask, qt.IsTrue)
 			return
 		}
 	}
-	t.Fatal("the large job starved")
+	t.Fatal("no task of the large job started within 2000 starts of small jobs")
 }
 
 func TestFairShares(t *testing.T) {
@@ -81,14 +80,14 @@
 	for range 400 {
 		item := q.Next()
 		starts[item.Team]++
-		q.Done(item.Team)
+		q.TaskEnded(item.Team)
 	}
 	qt.Assert(t, starts["heavy"] >= 298 && starts["heavy"] <= 302, qt.IsTrue, qt.Commentf("%v", starts))
 }
 
-// TestIdleTeamSavesNothingUp: a team that was idle shares from now on, and
-// does not catch up on the past.
-func TestIdleTeamSavesNothingUp(t *testing.T) {
+// Guards against a team that was idle taking all slots to make up for the time
+// without queued tasks.
+func TestIdleTeamAccumulatesNoCredit(t *testing.T) {
 	q := newQueue("fifo", map[string]Share{"busy": {Weight: 1}, "idle": {Weight: 1}})
 	add(q, "b", "busy", 1000, 0, time.Minute)
 	for range 500 {
@@ -102,12 +101,12 @@
 	qt.Assert(t, starts["busy"] >= 9, qt.IsTrue, qt.Commentf("%v", starts))
 }
 
-// TestDropBeforeAdd: a job that ends while its record is under way takes no
-// other job out of the queue.
-func TestDropBeforeAdd(t *testing.T) {
+// Guards against the removal of another job when a job ends before it was
+// added, while the backup's acknowledgement is outstanding.
+func TestRemoveBeforeAdd(t *testing.T) {
 	q := newQueue("fifo", map[string]Share{"t": {Weight: 1}})
 	add(q, "other", "t", 3, 0, time.Minute)
-	q.Drop(&Item[string]{Job: "early", Team: "t", Left: 2})
+	q.Remove(&Item[string]{Job: "early", Team: "t", Left: 2})
 	qt.Assert(t, q.Waiting(), qt.Equals, 3)
 	qt.Assert(t, q.Next().Job, qt.Equals, "other")
 }
@@ -120,12 +119,12 @@
 	q.Next()
 	qt.Assert(t, q.Next(), qt.IsNil)
 	add(q, "k", "u", 1, 0, time.Minute)
-	qt.Assert(t, q.Next().Team, qt.Equals, "u", qt.Commentf("a team at its quota holds up no other"))
-	q.Done("t")
+	qt.Assert(t, q.Next().Team, qt.Equals, "u", qt.Commentf("a team at its quota must not block other teams"))
+	q.TaskEnded("t")
 	qt.Assert(t, q.Next().Team, qt.Equals, "t")
 }
 
-// TestQueueCounts draws random changes: no task is lost or made.
+// Guards against task counts that drift under random sequences of calls.
 func TestQueueCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newQueue("fewest", map[string]Share{"a": {Weight: 1}, "b": {Weight: 2}})
@@ -148,17 +147,17 @@
 				if len(taken) == 0 {
 					t.Skip()
 				}
-				q.Done(taken[0].Team)
+				q.TaskEnded(taken[0].Team)
 				q.Requeue(taken[0])
 				taken = taken[1:]
 				expected++
 			},
-			"drop": func(t *rapid.T) {
+			"remove": func(t *rapid.T) {
 				if len(items) == 0 {
 					t.Skip()
 				}
 				expected -= items[0].Left
-				q.Drop(items[0])
+				q.Remove(items[0])
 				items = items[1:]
 			},
 			"": func(t *rapid.T) {
@@ -170,9 +169,9 @@
 }
 
 func TestDecide(t *testing.T) {
-	calm := Load{Capacity: 100, Weight: 1, WeightSum: 1, MeanTask: 100 * time.Millisecond, MaxQueue: 1000}
+	noQueue := Load{Capacity: 100, Weight: 1, WeightSum: 1, MeanTask: 100 * time.Millisecond, MaxQueue: 1000}
 	with := func(change func(*Load)) Load {
-		l := calm
+		l := noQueue
 		change(&l)
 		return l
 	}
@@ -183,9 +182,9 @@
 		left     time.Duration
 		expected errkind.Kind
 	}{
-		{"calm", calm, 10, time.Second, ""},
-		{"no target", with(func(l *Load) { l.Capacity = 0 }), 1, time.Second, errkind.NoTarget},
-		{"deadline passed", calm, 1, 0, errkind.DeadlineTooShort},
+		{"no queue", noQueue, 10, time.Second, ""},
+		{"no capacity", with(func(l *Load) { l.Capacity = 0 }), 1, time.Second, errkind.NoTarget},
+		{"deadline passed", noQueue, 1, 0, errkind.DeadlineTooShort},
 		{"cannot meet its deadline", with(func(l *Load) { l.Waiting, l.TeamWaiting = 2000, 900 }), 10, time.Second, errkind.Overloaded},
 		{"another team's backlog", with(func(l *Load) { l.Waiting, l.WeightSum = 2000, 2 }), 10, time.Second, ""},
 		{"the team's queue is full", with(func(l *Load) { l.Waiting, l.TeamWaiting = 995, 995 }), 10, time.Hour, errkind.Overloaded},
@@ -201,21 +200,21 @@
 					continue
 				}
 				qt.Assert(t, err.Kind, qt.Equals, s.expected)
-				qt.Assert(t, err.RetryAfter >= shortestReturn, qt.IsTrue)
+				qt.Assert(t, err.RetryAfter >= minRetryAfter, qt.IsTrue)
 			}
 		})
 	}
 }
 
-// TestReturnsAreSpread: callers refused together are told different times.
-func TestReturnsAreSpread(t *testing.T) {
+// Guards against callers that are refused together and retry together.
+func TestRetryAfterIsSpread(t *testing.T) {
 	load := Load{Capacity: 1, Weight: 1, WeightSum: 1, MeanTask: time.Second, Waiting: 10, TeamWaiting: 10, MaxQueue: 100}
 	early := Decide(load, 1, time.Second, 0)
 	late := Decide(load, 1, time.Second, 0.99)
 	qt.Assert(t, late.RetryAfter > early.RetryAfter*3/2, qt.IsTrue)
 }
 
-// same stands in for qt.Assert, which does not take a rapid.T.
+// same replaces qt.Assert, which does not accept a rapid.T.
 func same[T comparable](t *rapid.T, got, wanted T) {
 	if got != wanted {
 		t.Fatalf("got %v, wanted %v", got, wanted)
--- a/pkg/retry/resubmit.go
+++ b/pkg/retry/resubmit.go
@@ -7,20 +7,22 @@
 	"github.com/foxcroft/foxcroft/pkg/once"
 )
 
-// Step is what a caller does next about a submission.
+// Step is what a caller does next with a submission.
 type Step uint8
 
-// The steps of a caller.
+// Steps of a caller.
 const (
-	GiveUp Step = iota + 1 // the answer is final
-	SameID                 // submit the same id again; nothing is known yet
-	NewID                  // submit under a new id; nothing ran and nothing will
+	GiveUp Step = iota + 1 // do not submit again
+	SameID                 // submit again under the same id: the outcome is unknown
+	NewID                  // submit under a new id: no task ran under this one, and none will
 )
 
+// lostAnswerPause is how long a caller waits before it submits again after a
+// submission without an answer.
 const lostAnswerPause = 50 * time.Millisecond
 
-// AfterAnswer decides on the next step after an answer, and how long to wait
-// before it. left is the time to the job's deadline.
+// AfterAnswer returns the next step after an answer, and how long to wait
+// before it. left is the time until the job's deadline.
 func AfterAnswer(outcome once.Outcome, kind errkind.Kind, retryAfter, left time.Duration) (Step, time.Duration) {
 	step := stepFor(outcome, kind)
 	if step != GiveUp && retryAfter >= left {
@@ -29,8 +31,9 @@
 	return step, retryAfter
 }
 
-// AfterLostAnswer decides on the next step when no answer came: the job may
-// be under way, so only the same id is safe.
+// AfterLostAnswer returns the next step after a submission without an answer,
+// and how long to wait before it. The job may be running, so that only the same
+// id is safe.
 func AfterLostAnswer(left time.Duration) (Step, time.Duration) {
 	if lostAnswerPause >= left {
 		return GiveUp, 0
--- a/pkg/retry/retry.go
+++ b/pkg/retry/retry.go
@@ -1,50 +1,52 @@
-// Package retry decides whether a task attempt may be written to a target and
-// whether a failed one may be tried again. It does no I/O.
+// Package retry decides whether a task may be sent to a target, whether a
+// failed attempt may be retried, and whether a caller submits a job again. It
+// does no I/O.
 package retry
 
 import "time"
 
-// Progress is how far an attempt got when it ended without a result.
+// Progress is how far an attempt without a result got.
 type Progress uint8
 
-// How far an attempt got.
+// Progress of an attempt.
 const (
-	NotDialled  Progress = iota + 1 // no connection was made
-	NotWritten                      // a connection, but no byte of the request
-	RefusedIdle                     // the target said that it did not start the task
+	NotDialled  Progress = iota + 1 // no connection was established
+	NotWritten                      // connected, but no byte of the request was written
+	RefusedIdle                     // the target refused the task without starting it
 	MayStarted                      // the target may have started the task
 )
 
-// MayRetry reports whether the task provably did not start, so that another
-// attempt cannot start it twice.
+// MayRetry reports whether the attempt is known not to have started the task,
+// so that a retry cannot start it twice.
 func (p Progress) MayRetry() bool {
 	return p == NotDialled || p == NotWritten || p == RefusedIdle
 }
 
-// MayWrite reports whether a task may be written now. A process that slept
-// through the deadline, or whose job ended, must start nothing more.
+// MayWrite reports whether a task may be sent now. It guards against a process
+// that was suspended past the deadline, and against a job that has ended.
 func MayWrite(now, deadline time.Duration, jobEnded bool) bool {
 	return !jobEnded && now < deadline
 }
 
-// Budget limits retries to a share of the traffic, by a token bucket that
-// each first attempt fills. It is not safe for concurrent use.
+// Budget limits retries to a share of the traffic. It is a token bucket that
+// each first attempt refills by ratio. It is not safe for concurrent use.
 type Budget struct {
 	ratio  float64
 	burst  float64
 	tokens float64
 }
 
-// NewBudget makes a full budget. ratio is the retries allowed a first attempt
-// and burst the retries that may come at once.
+// NewBudget returns a full budget. ratio is the number of retries allowed per
+// first attempt, and burst the size of the bucket.
 func NewBudget(ratio, burst float64) *Budget {
 	return &Budget{ratio: ratio, burst: burst, tokens: burst}
 }
 
-// Attempt counts a first attempt.
+// Attempt records a first attempt.
 func (b *Budget) Attempt() { b.tokens = min(b.burst, b.tokens+b.ratio) }
 
-// Take takes a retry from the budget and reports whether there was one.
+// Take takes a retry from the budget. It returns false if the budget is used
+// up.
 func (b *Budget) Take() bool {
 	if b.tokens < 1 {
 		return false
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -30,7 +30,7 @@
 
 func TestMayWrite(t *testing.T) {
 	qt.Assert(t, MayWrite(1, 2, false), qt.IsTrue)
-	qt.Assert(t, MayWrite(2, 2, false), qt.IsFalse, qt.Commentf("a process that slept through the deadline"))
+	qt.Assert(t, MayWrite(2, 2, false), qt.IsFalse, qt.Commentf("a process that was suspended past the deadline"))
 	qt.Assert(t, MayWrite(1, 2, true), qt.IsFalse, qt.Commentf("a job that ended"))
 }
 
--- a/pkg/schedule/schedule.go
+++ b/pkg/schedule/schedule.go
@@ -43,7 +43,7 @@
 	lending  *route.Lending
 	budget   *retry.Budget
 	meanTask time.Duration
-	pausedTo time.Duration // the retries have used up their budget
+	pausedUntil time.Duration // the retries have used up their budget
 }
 
 // New makes a scheduler for a host. retryRatio is the retries allowed a first
@@ -119,7 +119,7 @@
 func (s *Scheduler[J]) Add(item *admit.Item[J]) { s.queue.Add(item) }
 
 // Drop takes a job's waiting tasks out. Pump must follow.
-func (s *Scheduler[J]) Drop(item *admit.Item[J]) { s.queue.Drop(item) }
+func (s *Scheduler[J]) Drop(item *admit.Item[J]) { s.queue.Remove(item) }
 
 // Pump gives slots to waiting tasks for as long as both are there, then
 // decides on borrowing and lending. unit draws a random number in [0, 1).
@@ -129,7 +129,7 @@
 	if s.rules.Policy.Lends() {
 		messages = s.lending.ReturnRecalled()
 	}
-	for now >= s.pausedTo && s.queue.CanStart() {
+	for now >= s.pausedUntil && s.queue.CanStart() {
 		address, ok := s.slots.Acquire(now, unit())
 		if !ok {
 			break
@@ -144,8 +144,8 @@
 }
 
 func (s *Scheduler[J]) need(now time.Duration) route.Need {
-	oldest, _ := s.queue.Oldest()
-	first, _ := s.queue.First()
+	oldest, _ := s.queue.OldestArrival()
+	first, _ := s.queue.FirstOrderKey()
 	return route.Need{Tasks: s.queue.Startable(), Waited: now - oldest, Place: first, After: s.rules.BorrowAfter}
 }
 
@@ -153,7 +153,7 @@
 // start and waits once more. Pump must follow.
 func (s *Scheduler[J]) Complete(start Start[J], outcome route.Outcome, again bool, now time.Duration) {
 	s.slots.Release(start.Address, start.Began, outcome, now)
-	s.queue.Done(start.Item.Team)
+	s.queue.TaskEnded(start.Item.Team)
 	if outcome == route.Served {
 		s.learn(now - start.Began)
 	}
@@ -162,7 +162,7 @@
 	}
 	s.queue.Requeue(start.Item)
 	if !s.budget.Take() {
-		s.pausedTo = now + budgetPause
+		s.pausedUntil = now + budgetPause
 	}
 }
 
@@ -181,8 +181,8 @@
 		return 0, false
 	}
 	at, found := s.slots.NextUsable(now)
-	if s.pausedTo > now && (!found || s.pausedTo < at) {
-		at, found = s.pausedTo, true
+	if s.pausedUntil > now && (!found || s.pausedUntil < at) {
+		at, found = s.pausedUntil, true
 	}
 	if wait, ok := s.need(now).NextStep(); ok && (!found || now+wait < at) {
 		at, found = now+wait, true
