--- a/pkg/route/bench_test.go
+++ b/pkg/route/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkShares measures dividing a domain's slots anew, as after every
-// change of the membership or the configuration.
+// BenchmarkShares measures the division of a domain's slots after a change of
+// the membership or the configuration.
 func BenchmarkShares(b *testing.B) {
 	for _, n := range []int{17, 300, 3_300} {
 		for _, hosts := range []int{3, 30} {
@@ -19,7 +19,7 @@
 				s := NewSlots("a", policy("shares"))
 				list := targets(n, 8)
 				for b.Loop() {
-					s.divided = division{}
+					s.lastDivision = division{}
 					s.SetTargets(list, owners)
 				}
 			})
@@ -27,7 +27,7 @@
 	}
 }
 
-// BenchmarkAcquire measures finding a slot and giving it back.
+// BenchmarkAcquire measures acquiring and releasing a slot.
 func BenchmarkAcquire(b *testing.B) {
 	for _, n := range []int{17, 300, 3_300} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
--- a/pkg/route/health.go
+++ b/pkg/route/health.go
@@ -2,68 +2,70 @@
 
 import "time"
 
-// Limits of finding slow targets.
+// Parameters of the detection of slow targets.
 const (
-	shrinkage     = 8           // pool samples that a target's own are weighed against
-	suspectRatio  = 2.5         // times the pool's mean that make a target a suspect
-	clampRatio    = 3           // times the pool's mean that a sample counts for in it at most
-	clearRatio    = 1.5         // and that clear it again
-	suspectShare  = 3           // one target in so many may be a suspect
-	hangingRatio  = 5           // times the pool's mean that accuse an attempt under way
-	meanWeight    = 0.02        // of a new sample in the pool's mean
-	targetWeight  = 0.15        // of a new sample in a target's mean
-	trialWeight   = 0.5         // of a suspect's new sample, so that few trials clear it
-	firstTrial    = time.Second // after becoming a suspect
-	longestTrial  = 30 * time.Second
-	sampleMemory  = 7 // samples that a target's mean remembers, 1/targetWeight
-	minimumSample = 100 * time.Microsecond
+	shrinkage         = 8    // weight, in samples, of the pool's mean in a target's ratio
+	suspectRatio      = 2.5  // ratio to the pool's mean that makes a target a suspect
+	clampRatio        = 3    // upper bound of a sample in the pool's mean, as a ratio to that mean
+	clearRatio        = 1.5  // ratio below which a suspect is cleared
+	targetsPerSuspect = 3    // targets needed per suspect
+	hangingRatio      = 5    // ratio to the pool's mean at which an open attempt makes its target a suspect
+	meanWeight        = 0.02 // of a new sample in the pool's mean
+	targetWeight      = 0.15 // of a new sample in a target's mean
+	probeWeight       = 0.5  // of a suspect's new sample, so that few probes clear it
+	minProbeInterval  = time.Second
+	maxProbeInterval  = 30 * time.Second
+	sampleWindow      = 7 // samples that a target's mean covers, about 1/targetWeight
+	minimumSample     = 100 * time.Microsecond
 )
 
-// Health finds targets whose times lie far above the pool's.
+// Health detects targets whose task times are far above the mean of the pool.
 type Health struct {
-	mean     float64 // seconds, over the pool
+	mean     float64 // of the pool, in seconds, exponentially weighted
 	samples  int
-	targets  int // that there are
-	suspects int // of them
+	targets  int
+	suspects int
 }
 
-// targetHealth is what Health remembers of one target.
+// targetHealth is the health of one target.
 type targetHealth struct {
-	mean    float64 // seconds, exponentially weighted
-	samples int
-	suspect bool
-	pause   time.Duration   // between trials
-	trialAt time.Duration   // next trial
-	began   []time.Duration // of the attempts under way, oldest first
+	mean          float64 // seconds, exponentially weighted
+	samples       int
+	suspect       bool
+	probeInterval time.Duration   // of a suspect
+	probeAt       time.Duration   // time of the next probe
+	startedAt     []time.Duration // of the open attempts, oldest first
 }
 
 func newHealth() *Health { return &Health{} }
 
-// begin notes the start of an attempt, so that one that hangs counts before
-// it ends.
+// begin records the start of an attempt, so that checkHanging sees it before it
+// ends.
 func (h *Health) begin(t *slotState, now time.Duration) {
-	t.health.began = append(t.health.began, now)
+	t.health.startedAt = append(t.health.startedAt, now)
 	if t.health.suspect {
-		t.health.trialAt = now + t.health.pause
+		t.health.probeAt = now + t.health.probeInterval
 	}
 }
 
+// end records the end of an attempt. Only served attempts count as samples.
 func (h *Health) end(t *slotState, began time.Duration, outcome Outcome, now time.Duration) {
-	t.health.drop(began)
+	t.health.removeAttempt(began)
 	elapsed := now - began
 	if outcome != Served || elapsed < minimumSample {
 		return
 	}
-	h.learn(t, elapsed.Seconds())
-	h.judge(t, elapsed.Seconds(), now)
+	h.addSample(t, elapsed.Seconds())
+	h.evaluate(t, elapsed.Seconds(), now)
 }
 
-// learn updates the means. A suspect's times stay out of the pool's mean.
-func (h *Health) learn(t *slotState, seconds float64) {
+// addSample updates the means. Samples of a suspect do not count in the mean of
+// the pool.
+func (h *Health) addSample(t *slotState, seconds float64) {
 	t.health.samples++
 	weight := max(targetWeight, 1/float64(t.health.samples))
 	if t.health.suspect {
-		weight = trialWeight
+		weight = probeWeight
 	}
 	t.health.mean += weight * (seconds - t.health.mean)
 	if t.health.suspect {
@@ -71,32 +73,33 @@
 	}
 	h.samples++
 	weight = max(meanWeight, 1/float64(h.samples))
-	if h.samples > sampleMemory {
-		// Else a slow target would hide by slowing the mean.
+	if h.samples > sampleWindow {
+		// Limits how far a slow target raises the mean that it is compared with.
 		seconds = min(seconds, clampRatio*h.mean)
 	}
 	h.mean += weight * (seconds - h.mean)
 }
 
-// ratio compares a target with the pool. With few samples of its own the
-// target is drawn towards the pool.
+// ratio returns the target's mean divided by the mean of the pool. The target's
+// mean is shrunk towards that of the pool: the fewer samples, the more.
 func (h *Health) ratio(t *slotState) float64 {
 	if h.mean == 0 {
 		return 1
 	}
-	own := float64(min(t.health.samples, sampleMemory))
+	own := float64(min(t.health.samples, sampleWindow))
 	shrunk := (own*t.health.mean + shrinkage*h.mean) / (own + shrinkage)
 	return shrunk / h.mean
 }
 
-// judge accuses a target, clears it, or sets its next trial: soon after a
-// trial that went well, later and later after others.
-func (h *Health) judge(t *slotState, latest float64, now time.Duration) {
+// evaluate marks a target as a suspect, clears it, or schedules the next probe
+// of a suspect. The probe interval doubles after each slow sample and is reset
+// by any other.
+func (h *Health) evaluate(t *slotState, latest float64, now time.Duration) {
 	health := &t.health
 	ratio := h.ratio(t)
 	if !health.suspect {
 		if ratio > suspectRatio {
-			h.accuse(t, now)
+			h.markSuspect(t, now)
 		}
 		return
 	}
@@ -107,27 +110,27 @@
 	}
 	wasSlow := latest > suspectRatio*h.mean
 	if wasSlow {
-		health.pause = min(longestTrial, 2*health.pause)
+		health.probeInterval = min(maxProbeInterval, 2*health.probeInterval)
 	} else {
-		health.pause = firstTrial
+		health.probeInterval = minProbeInterval
 	}
-	health.trialAt = now + health.pause
+	health.probeAt = now + health.probeInterval
 }
 
-// accuse makes a target a suspect, unless too many are already: when all are
-// slow, it is not the targets.
-func (h *Health) accuse(t *slotState, now time.Duration) {
-	if suspectShare*(h.suspects+1) > h.targets {
+// markSuspect makes a target a suspect unless too many are suspects already:
+// when most targets are slow, the cause is elsewhere.
+func (h *Health) markSuspect(t *slotState, now time.Duration) {
+	if targetsPerSuspect*(h.suspects+1) > h.targets {
 		return
 	}
 	h.suspects++
 	t.health.suspect = true
-	t.health.pause = firstTrial
-	t.health.trialAt = now + firstTrial
+	t.health.probeInterval = minProbeInterval
+	t.health.probeAt = now + minProbeInterval
 }
 
-// allows reports whether a target may get a task: a suspect gets one at a
-// time, now and then.
+// allows reports whether a target may get a task. A suspect gets one probe at a
+// time, at its probe interval.
 func (h *Health) allows(t *slotState, now time.Duration) bool {
 	if !t.health.suspect {
 		h.checkHanging(t, now)
@@ -135,23 +138,23 @@
 	if !t.health.suspect {
 		return true
 	}
-	return t.busy == 0 && now >= t.health.trialAt
+	return t.busy == 0 && now >= t.health.probeAt
 }
 
-// checkHanging accuses a target whose oldest attempt runs far longer than
-// the pool's mean: the attempt counts with the time that it took so far.
+// checkHanging makes a target a suspect if its oldest open attempt has taken far
+// longer than the mean of the pool.
 func (h *Health) checkHanging(t *slotState, now time.Duration) {
-	if h.mean == 0 || len(t.health.began) == 0 {
+	if h.mean == 0 || len(t.health.startedAt) == 0 {
 		return
 	}
-	age := (now - t.health.began[0]).Seconds()
+	age := (now - t.health.startedAt[0]).Seconds()
 	if age > hangingRatio*h.mean && age > 2*t.health.mean {
-		h.accuse(t, now)
+		h.markSuspect(t, now)
 	}
 }
 
-// count takes the targets that there are.
-func (h *Health) count(states []*slotState) {
+// setTargets recounts the targets and the suspects among them.
+func (h *Health) setTargets(states []*slotState) {
 	h.targets, h.suspects = len(states), 0
 	for _, state := range states {
 		if state.health.suspect {
@@ -160,26 +163,27 @@
 	}
 }
 
-// nextTrial returns when a target may get a task as far as its health goes.
-func (h *Health) nextTrial(t *slotState) time.Duration {
+// nextAllowed returns the time of the next probe of a suspect, or 0 if the target
+// is no suspect.
+func (h *Health) nextAllowed(t *slotState) time.Duration {
 	if !t.health.suspect {
 		return 0
 	}
-	return t.health.trialAt
+	return t.health.probeAt
 }
 
 func (h *Health) isSuspect(t *slotState) bool { return t.health.suspect }
 
-func (t *targetHealth) drop(began time.Duration) {
-	for i, at := range t.began {
+func (t *targetHealth) removeAttempt(began time.Duration) {
+	for i, at := range t.startedAt {
 		if at == began {
-			t.began = append(t.began[:i], t.began[i+1:]...)
+			t.startedAt = append(t.startedAt[:i], t.startedAt[i+1:]...)
 			return
 		}
 	}
 }
 
-// Suspects returns the addresses of the targets under suspicion.
+// Suspects returns the addresses of the suspects, sorted.
 func (s *Slots) Suspects() []string {
 	var suspects []string
 	for _, state := range s.order {
--- a/pkg/route/lending.go
+++ b/pkg/route/lending.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// PeerLoad is what a peer last told of its slots and tasks.
+// PeerLoad is the load that a peer last reported.
 type PeerLoad struct {
-	Idle    int // slots
-	Usable  int // slots that it may fill at once
-	Waiting int // tasks
+	Idle    int // idle slots
+	Usable  int // slots that the peer may use, busy or idle
+	Waiting int // queued tasks
 }
 
 // Lender is a peer that slots may be borrowed from.
 type Lender struct {
 	Host    string
-	Near    bool // in the own domain
-	Leaving bool // leaving: nothing is asked of it
+	Near    bool // in the same domain
+	Leaving bool // the peer is leaving and gets no borrow requests
 	PeerLoad
 }
 
-// MessageKind tells the messages of lending apart.
+// MessageKind is the kind of a lending message.
 type MessageKind uint8
 
-// The messages of lending.
+// Kinds of lending messages.
 const (
-	KindBorrow MessageKind = iota + 1 // wish for slots; Want 0 takes the wish back
-	KindLend                          // lend slots
-	KindReturn                        // return borrowed slots
+	KindBorrow MessageKind = iota + 1 // requests slots; Want 0 cancels the request
+	KindLend                          // lends slots
+	KindReturn                        // returns borrowed slots
 )
 
-// Message is a message that lending decided to send.
+// Message is a lending message to be sent to a peer.
 type Message struct {
 	Kind   MessageKind
-	Host   string
-	Want   int
-	Place  time.Duration // for KindBorrow: of the first waiting job in its order, from now
-	Grants []Grant
-	Urgent bool // a task waits for it
+	Host   string        // receiver
+	Want   int           // KindBorrow: slots requested
+	Place  time.Duration // KindBorrow: order key of the first queued job, relative to now
+	Grants []Grant       // KindLend, KindReturn
+	Urgent bool          // a queued task depends on the message
 }
 
-// Need is what the waiting tasks ask for.
+// Need is the demand for slots of the queued tasks.
 type Need struct {
-	Tasks  int           // that could start if there were slots
-	Waited time.Duration // of the one that waits longest
-	Place  time.Duration // of the first job in its order, by the host's clock
-	After  time.Duration // how long a task waits before slots are asked for
+	Tasks  int           // tasks that would start if there were slots
+	Waited time.Duration // time in the queue of the oldest job
+	Place  time.Duration // order key of the first queued job, by the host's clock
+	After  time.Duration // time in the queue before slots are borrowed
 }
 
-// NextStep returns how long until waiting alone makes Balance ask for more, or
-// false when it will not.
-func (n Need) NextStep() (time.Duration, bool) {
-	for _, threshold := range []time.Duration{n.After, n.After + askBusyAfter} {
+// NextThreshold returns the time until Balance may send further borrow requests
+// because tasks have waited longer, or false if waiting changes nothing.
+func (n Need) NextThreshold() (time.Duration, bool) {
+	for _, threshold := range []time.Duration{n.After, n.After + busyPeerDelay} {
 		if n.Tasks > 0 && n.Waited < threshold {
 			return threshold - n.Waited, true
 		}
@@ -59,27 +59,28 @@
 	return 0, false
 }
 
-// Lending decides when to borrow slots from peers, when to lend idle ones and
-// when to give back what was borrowed. It is not safe for concurrent use.
+// Lending decides when to borrow slots from peers, when to lend idle slots, and
+// when to return borrowed slots. It is not safe for concurrent use.
 type Lending struct {
-	slots   *Slots
-	wishes  *Wishes
-	lenders []Lender
-	asked   map[string]int // by host: slots wished for there
-	recall  map[string]int // by host: slots of its own that it wants back
+	slots     *Slots
+	pending   *BorrowRequests
+	lenders   []Lender
+	requested map[string]int // by host: slots requested from it
+	recalled  map[string]int // by host: slots that it lent and requests back
 }
 
-// askBusyAfter is how much longer tasks wait before peers are asked that have
-// no idle slots as far as is known; a wish there is met when slots fall idle.
-const askBusyAfter = 20 * time.Millisecond
+// busyPeerDelay is the extra time that tasks wait before slots are requested
+// from peers without known idle slots. Such a peer lends slots once they become
+// idle.
+const busyPeerDelay = 20 * time.Millisecond
 
-// NewLending makes a lending over an account of slots.
+// NewLending returns a Lending for an account of slots.
 func NewLending(slots *Slots) *Lending {
-	return &Lending{slots: slots, wishes: NewWishes(), asked: map[string]int{}, recall: map[string]int{}}
+	return &Lending{slots: slots, pending: NewBorrowRequests(), requested: map[string]int{}, recalled: map[string]int{}}
 }
 
-// SetLenders takes the peers that there are, and drops all dealings with
-// those that are gone.
+// SetLenders replaces the peers and forgets those that were removed. Peers of
+// the same domain come first, then those with more idle slots.
 func (l *Lending) SetLenders(lenders []Lender) {
 	present := map[string]bool{}
 	for _, lender := range lenders {
@@ -100,14 +101,14 @@
 	})
 }
 
-// SetLoad takes a peer's word on its slots and tasks.
+// SetLoad records the load reported by a peer.
 func (l *Lending) SetLoad(host string, load PeerLoad) {
 	if lender := l.lender(host); lender != nil {
 		lender.PeerLoad = load
 	}
 }
 
-// lender returns the peer of a name, or nil.
+// lender returns the peer with the given host name, or nil.
 func (l *Lending) lender(host string) *Lender {
 	for i := range l.lenders {
 		if l.lenders[i].Host == host {
@@ -117,8 +118,9 @@
 	return nil
 }
 
-// PeerSum returns the load of all peers together, as last heard.
-func (l *Lending) PeerSum() PeerLoad {
+// TotalPeerLoad returns the sum of the last reported loads of all peers that are
+// not leaving.
+func (l *Lending) TotalPeerLoad() PeerLoad {
 	var sum PeerLoad
 	for _, lender := range l.lenders {
 		if lender.Leaving {
@@ -131,84 +133,86 @@
 	return sum
 }
 
-// Forget drops all dealings with a host that is gone or began anew.
+// Forget drops all requests and loans of a host that was removed or restarted.
 func (l *Lending) Forget(host string) {
-	delete(l.asked, host)
-	delete(l.recall, host)
-	l.wishes.Drop(host)
+	delete(l.requested, host)
+	delete(l.recalled, host)
+	l.pending.Remove(host)
 	l.slots.Forget(host)
 }
 
-// ReturnRecalled gives idle slots back to the lenders that wish for them. It
-// has to come before waiting tasks take the slots.
+// ReturnRecalled returns idle slots to the lenders that have requested them
+// back. It must be called before queued tasks take the slots.
 func (l *Lending) ReturnRecalled() []Message {
 	var messages []Message
-	for lender, count := range l.recall {
-		grants := l.slots.GiveBackTo(lender, count)
+	for lender, count := range l.recalled {
+		grants := l.slots.ReturnIdleTo(lender, count)
 		if len(grants) == 0 {
 			continue
 		}
 		messages = append(messages, Message{Kind: KindReturn, Host: lender, Grants: grants, Urgent: true})
-		l.recall[lender] -= CountSlots(grants)
-		if l.recall[lender] <= 0 {
-			delete(l.recall, lender)
+		l.recalled[lender] -= CountSlots(grants)
+		if l.recalled[lender] <= 0 {
+			delete(l.recalled, lender)
 		}
 	}
 	return messages
 }
 
-// Balance decides what to send after waiting tasks have taken their slots.
+// Balance returns the messages to send after queued tasks have taken the free
+// slots: borrow requests if tasks remain queued, else returns and loans.
 func (l *Lending) Balance(need Need, now time.Duration) []Message {
 	var messages []Message
 	if need.Tasks > 0 {
 		return l.borrow(messages, need, now)
 	}
-	for lender, grants := range l.slots.GiveBack() {
+	for lender, grants := range l.slots.ReturnIdle() {
 		messages = append(messages, Message{Kind: KindReturn, Host: lender, Grants: grants})
 	}
-	messages = l.withdraw(messages)
+	messages = l.cancelRequests(messages)
 	return l.lendIdle(messages, now)
 }
 
-// borrow asks as many peers as seem needed to cover the tasks that wait.
+// borrow requests slots from as many peers as needed to cover the queued tasks.
 func (l *Lending) borrow(messages []Message, need Need, now time.Duration) []Message {
 	missing := need.Tasks
 	for _, lender := range l.lenders {
-		// A wish beyond a peer's idle slots may not be met for long.
-		missing -= min(l.asked[lender.Host], lender.Idle)
+		// A request beyond a peer's idle slots may stay open for long.
+		missing -= min(l.requested[lender.Host], lender.Idle)
 	}
 	idle, busy := l.dueLenders(need, missing)
 	for _, lender := range idle {
 		if missing <= 0 {
 			return messages
 		}
-		messages = append(messages, l.ask(lender, missing, need, now))
+		messages = append(messages, l.request(lender, missing, need, now))
 		missing -= lender.Idle
 	}
 	for i, lender := range busy {
 		if missing <= 0 {
 			return messages
 		}
-		// Several may give slots up, so each is asked for a part.
+		// Any busy peer may free slots, so each is asked for a part.
 		part := (missing + len(busy) - i - 1) / (len(busy) - i)
-		messages = append(messages, l.ask(lender, part, need, now))
+		messages = append(messages, l.request(lender, part, need, now))
 		missing -= part
 	}
 	return messages
 }
 
-func (l *Lending) ask(lender Lender, want int, need Need, now time.Duration) Message {
-	l.asked[lender.Host] = want
+func (l *Lending) request(lender Lender, want int, need Need, now time.Duration) Message {
+	l.requested[lender.Host] = want
 	return Message{Kind: KindBorrow, Host: lender.Host, Want: want, Place: need.Place - now, Urgent: true}
 }
 
-// dueLenders returns the peers to ask now, those with idle slots apart.
+// dueLenders returns the peers to request slots from now, split into those with
+// idle slots and those without.
 func (l *Lending) dueLenders(need Need, missing int) (idle, busy []Lender) {
 	for _, lender := range l.lenders {
-		if lender.Leaving || l.asked[lender.Host] > 0 && !l.shouldAskMore(lender.Host, missing) {
+		if lender.Leaving || l.requested[lender.Host] > 0 && !l.shouldRequestMore(lender.Host, missing) {
 			continue
 		}
-		if need.Waited < l.patience(lender, need) {
+		if need.Waited < l.requestDelay(lender, need) {
 			continue
 		}
 		if lender.Idle > 0 {
@@ -220,36 +224,37 @@
 	return idle, busy
 }
 
-// shouldAskMore reports whether a host that holds slots of ours was asked for
-// far fewer than are needed now.
-func (l *Lending) shouldAskMore(host string, missing int) bool {
-	return missing >= 2*l.asked[host] && l.slots.LentTo(host) > l.asked[host]
+// shouldRequestMore reports whether at least twice the requested slots are
+// missing now, at a host that holds more of our slots than were requested.
+func (l *Lending) shouldRequestMore(host string, missing int) bool {
+	return missing >= 2*l.requested[host] && l.slots.LentTo(host) > l.requested[host]
 }
 
-// patience is how long tasks wait before a peer is asked. Slots of our own are
-// asked back at once.
-func (l *Lending) patience(lender Lender, need Need) time.Duration {
+// requestDelay returns how long tasks wait before slots are requested from a
+// peer. Slots lent to the peer are recalled at once.
+func (l *Lending) requestDelay(lender Lender, need Need) time.Duration {
 	switch {
 	case l.slots.LentTo(lender.Host) > 0:
 		return 0
 	case lender.Idle > 0:
 		return need.After
 	}
-	return need.After + askBusyAfter
+	return need.After + busyPeerDelay
 }
 
-func (l *Lending) withdraw(messages []Message) []Message {
-	for host := range l.asked {
-		delete(l.asked, host)
+// cancelRequests cancels all open borrow requests.
+func (l *Lending) cancelRequests(messages []Message) []Message {
+	for host := range l.requested {
+		delete(l.requested, host)
 		messages = append(messages, Message{Kind: KindBorrow, Host: host})
 	}
 	return messages
 }
 
-// lendIdle lends idle slots to the peers whose jobs come first.
+// lendIdle lends idle slots to peers, in the order of their jobs' order keys.
 func (l *Lending) lendIdle(messages []Message, now time.Duration) []Message {
 	for {
-		wish, ok := l.wishes.First()
+		wish, ok := l.pending.First()
 		if !ok {
 			return messages
 		}
@@ -258,41 +263,41 @@
 			return messages
 		}
 		wish.Want -= CountSlots(grants)
-		l.wishes.Set(wish)
+		l.pending.Set(wish)
 		messages = append(messages, Message{Kind: KindLend, Host: wish.Host, Grants: grants, Urgent: true})
 	}
 }
 
-// OnBorrow takes a peer's wish. A host that wishes for slots wants those back
-// that it lent to us.
+// OnBorrow handles a peer's borrow request. It also recalls the slots that the
+// peer lent to this host.
 func (l *Lending) OnBorrow(wish Wish) {
-	l.wishes.Set(wish)
-	l.recall[wish.Host] = wish.Want
+	l.pending.Set(wish)
+	l.recalled[wish.Host] = wish.Want
 	if wish.Want == 0 {
-		delete(l.recall, wish.Host)
+		delete(l.recalled, wish.Host)
 	}
 }
 
-// OnLend takes slots that a peer lent.
+// OnLend handles a loan of slots from a peer.
 func (l *Lending) OnLend(host string, grants []Grant) {
-	l.slots.Borrowed(host, grants)
+	l.slots.AddBorrowed(host, grants)
 	count := CountSlots(grants)
-	l.takeIdle(host, count, l.asked[host] > count)
-	l.met(host, count)
+	l.deductIdle(host, count, l.requested[host] > count)
+	l.deductRequested(host, count)
 }
 
-// met counts slots that came off what was wished for at a host.
-func (l *Lending) met(host string, count int) {
-	if l.asked[host] > count {
-		l.asked[host] -= count
+// deductRequested deducts received slots from those requested from a host.
+func (l *Lending) deductRequested(host string, count int) {
+	if l.requested[host] > count {
+		l.requested[host] -= count
 		return
 	}
-	delete(l.asked, host)
+	delete(l.requested, host)
 }
 
-// takeIdle counts slots that a peer lent off its idle ones. A peer that lent
-// less than was asked for has none left.
-func (l *Lending) takeIdle(host string, count int, all bool) {
+// deductIdle deducts slots that a peer lent from its idle ones. If all is true,
+// the peer lent fewer than requested and so has none left.
+func (l *Lending) deductIdle(host string, count int, all bool) {
 	lender := l.lender(host)
 	if lender == nil {
 		return
@@ -303,26 +308,27 @@
 	}
 }
 
-// OnReturn takes slots back from a peer, which may be what was wished for.
+// OnReturn handles slots returned by a peer. They count towards the slots
+// requested from it.
 func (l *Lending) OnReturn(host string, grants []Grant) {
-	l.slots.Returned(host, grants)
-	l.met(host, CountSlots(grants))
+	l.slots.Reclaim(host, grants)
+	l.deductRequested(host, CountSlots(grants))
 }
 
-// Undelivered takes the news that a message could not be sent.
+// Undelivered reverts the effects of a message that could not be sent.
 func (l *Lending) Undelivered(message Message) {
 	switch message.Kind {
 	case KindBorrow:
-		delete(l.asked, message.Host)
+		delete(l.requested, message.Host)
 	case KindLend:
-		l.slots.Returned(message.Host, message.Grants)
-		l.wishes.Drop(message.Host)
+		l.slots.Reclaim(message.Host, message.Grants)
+		l.pending.Remove(message.Host)
 	case KindReturn:
-		// The lender drops what it lent when it notices that the link is down.
+		// The lender drops the loan when it detects that the link is down.
 	}
 }
 
-// CountSlots adds up grants.
+// CountSlots returns the total number of slots of the grants.
 func CountSlots(grants []Grant) int {
 	sum := 0
 	for _, grant := range grants {
--- a/pkg/route/lending_test.go
+++ b/pkg/route/lending_test.go
@@ -25,13 +25,13 @@
 	return list
 }
 
-func TestBorrowAsksOnlyAsManyAsNeeded(t *testing.T) {
+func TestBorrowRequestsFromAsFewPeersAsNeeded(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		need     Need
 		asked    int
 	}{
-		{"nothing waits", Need{}, 0},
+		{"no queued task", Need{}, 0},
 		{"one peer's idle slots cover it", Need{Tasks: 3}, 1},
 		{"two peers cover it", Need{Tasks: 6}, 2},
 		{"a large job asks all", Need{Tasks: 960}, 3},
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestStaleIdleCounts: a peer that turns out to have less than it told does
-// not keep the others from being asked for the rest.
-func TestStaleIdleCounts(t *testing.T) {
+// Guards against the rest not being requested from another peer when a peer
+// lends fewer slots than it reported idle.
+func TestLoanSmallerThanReportedIdleSlots(t *testing.T) {
 	l := lendingOf("b", "c")
 	l.SetLoad("b", PeerLoad{Idle: 20, Usable: 20})
 	messages := l.Balance(Need{Tasks: 10}, 0)
@@ -65,7 +65,7 @@
 	l := NewLending(newSlots("shares", "b"))
 	l.SetLenders([]Lender{
 		{Host: "far", PeerLoad: PeerLoad{Idle: 9}},
-		{Host: "parted", Near: true, Leaving: true, PeerLoad: PeerLoad{Idle: 9}},
+		{Host: "leaving", Near: true, Leaving: true, PeerLoad: PeerLoad{Idle: 9}},
 		{Host: "b", Near: true, PeerLoad: PeerLoad{Idle: 1}},
 	})
 	messages := l.Balance(Need{Tasks: 1}, 0)
@@ -73,7 +73,7 @@
 	qt.Assert(t, messages[0].Host, qt.Equals, "b")
 }
 
-func TestIdleSlotsGoToTheFirstInOrder(t *testing.T) {
+func TestIdleSlotsAreLentByOrderKey(t *testing.T) {
 	l := lendingOf("b", "c")
 	l.OnBorrow(Wish{Host: "b", Want: 2, Place: 5})
 	l.OnBorrow(Wish{Host: "c", Want: 3, Place: 4})
@@ -91,16 +91,16 @@
 	}
 }
 
-func TestBorrowedSlotsGoBack(t *testing.T) {
+func TestBorrowedSlotsAreReturned(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		need     Need
 		recall   bool
 		expected []MessageKind
 	}{
-		{"when no task waits", Need{}, false, []MessageKind{KindReturn}},
-		{"when the lender wants them", Need{Tasks: 1}, true, []MessageKind{KindReturn, KindBorrow}},
-		{"not while tasks wait", Need{Tasks: 1}, false, []MessageKind{KindBorrow}},
+		{"when no task is queued", Need{}, false, []MessageKind{KindReturn}},
+		{"when the lender recalls them", Need{Tasks: 1}, true, []MessageKind{KindReturn, KindBorrow}},
+		{"not while tasks are queued", Need{Tasks: 1}, false, []MessageKind{KindBorrow}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestRecallAgain: slots that came back count as what was wished for, so that
-// the next task asks again, and a greater need asks for more.
+// Guards against a recall that stays open after the slots were returned, and
+// against one that does not grow with the demand.
 func TestRecallAgain(t *testing.T) {
 	l := lendingOf("b")
 	l.OnBorrow(Wish{Host: "b", Want: 6})
@@ -131,7 +131,7 @@
 	qt.Assert(t, kinds(l.Balance(Need{Tasks: 1}, 0)), qt.DeepEquals, []MessageKind{KindBorrow})
 }
 
-func TestUndeliveredDeals(t *testing.T) {
+func TestUndeliveredMessages(t *testing.T) {
 	l := lendingOf("b")
 	before := l.slots.Usable()
 	l.OnBorrow(Wish{Host: "b", Want: 2})
@@ -144,9 +144,8 @@
 	qt.Assert(t, kinds(l.Balance(Need{Tasks: 1}, 0)), qt.DeepEquals, []MessageKind{KindBorrow})
 }
 
-// TestGoneHost: what was lent to a host that is gone comes back, and what was
-// borrowed from it is not used any more.
-func TestGoneHost(t *testing.T) {
+// Guards against loans that outlive a removed host, in either direction.
+func TestRemovedHost(t *testing.T) {
 	l := lendingOf("b", "c")
 	before := l.slots.Usable()
 	l.OnBorrow(Wish{Host: "b", Want: 2})
--- a/pkg/route/policy.go
+++ b/pkg/route/policy.go
@@ -6,20 +6,20 @@
 	"github.com/foxcroft/foxcroft/pkg/kernel"
 )
 
-// Policy picks the target of a task. Policies register themselves in Policies
-// and are named by a service's routing key.
+// Policy picks the target of a task. Policies are registered in Policies and
+// selected by a service's routing key in the configuration.
 type Policy interface {
-	// Pick returns a usable target, or nil when there is none now. unit is a
+	// Pick returns a usable target, or nil if there is none now. unit is a
 	// random number in [0, 1).
 	Pick(s *Slots, now time.Duration, unit float64) *slotState
-	// Shares reports whether slots are divided among the entry hosts; without,
-	// each host counts every slot as its own and targets refuse the excess.
+	// Shares reports whether slots are divided among the entry hosts. If not,
+	// each host may use every slot, and targets refuse the excess.
 	Shares() bool
 	// Lends reports whether idle slots are lent to peers.
 	Lends() bool
 }
 
-// Policies are the routing policies that there are.
+// Policies holds the registered routing policies by name.
 var Policies = kernel.NewRegistry[Policy]("routing policy")
 
 func init() {
@@ -31,18 +31,19 @@
 	Policies.Register("two-choices", twoChoicesPolicy{})
 }
 
-// sharesPolicy uses the host's own share and what it borrowed, and avoids
-// suspects.
+// sharesPolicy uses the host's own share of the slots and those it borrowed, and
+// avoids suspects.
 type sharesPolicy struct{ lends bool }
 
 func (p sharesPolicy) Shares() bool { return true }
 func (p sharesPolicy) Lends() bool  { return p.lends }
 
-// enoughCandidates is the number of usable targets that a pick compares; at
-// full size a host has slots at a thousand.
-const enoughCandidates = 16
+// maxCandidates is the number of usable targets that a pick compares. It bounds
+// the time of a pick in large domains.
+const maxCandidates = 16
 
-// Pick takes the healthy target with the most room, of some.
+// Pick returns the target with the most free slots among the next maxCandidates
+// usable targets.
 func (p sharesPolicy) Pick(s *Slots, now time.Duration, _ float64) *slotState {
 	var best *slotState
 	candidates := 0
@@ -55,7 +56,7 @@
 			best = state
 		}
 		candidates++
-		if candidates == enoughCandidates {
+		if candidates == maxCandidates {
 			break
 		}
 	}
@@ -63,13 +64,13 @@
 	return best
 }
 
-// baseline is what the policies without shares have in common.
-type baseline struct{}
+// unsharedPolicy is embedded by the policies that do not divide slots.
+type unsharedPolicy struct{}
 
-func (baseline) Shares() bool { return false }
-func (baseline) Lends() bool  { return false }
+func (unsharedPolicy) Shares() bool { return false }
+func (unsharedPolicy) Lends() bool  { return false }
 
-type randomPolicy struct{ baseline }
+type randomPolicy struct{ unsharedPolicy }
 
 func (randomPolicy) Pick(s *Slots, now time.Duration, unit float64) *slotState {
 	usable := s.usable(now)
@@ -79,7 +80,7 @@
 	return usable[int(unit*float64(len(usable)))]
 }
 
-type roundRobinPolicy struct{ baseline }
+type roundRobinPolicy struct{ unsharedPolicy }
 
 func (roundRobinPolicy) Pick(s *Slots, now time.Duration, _ float64) *slotState {
 	for range s.order {
@@ -92,7 +93,7 @@
 	return nil
 }
 
-type leastPolicy struct{ baseline }
+type leastPolicy struct{ unsharedPolicy }
 
 func (leastPolicy) Pick(s *Slots, now time.Duration, unit float64) *slotState {
 	usable := s.usable(now)
@@ -109,7 +110,7 @@
 	return best
 }
 
-type twoChoicesPolicy struct{ baseline }
+type twoChoicesPolicy struct{ unsharedPolicy }
 
 func (twoChoicesPolicy) Pick(s *Slots, now time.Duration, unit float64) *slotState {
 	usable := s.usable(now)
@@ -117,7 +118,7 @@
 	if n == 0 {
 		return nil
 	}
-	// One random number gives both choices: its place among n*n pairs.
+	// unit selects one of the n*n pairs of targets.
 	pair := int(unit * float64(n*n))
 	first, second := usable[pair/n], usable[pair%n]
 	if second.busy < first.busy {
@@ -126,6 +127,7 @@
 	return first
 }
 
+// usable returns the targets that a task may go to now.
 func (s *Slots) usable(now time.Duration) []*slotState {
 	var usable []*slotState
 	for _, state := range s.order {
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -31,8 +31,8 @@
 	return s
 }
 
-// TestSharesCoverEachSlotOnce: hosts that agree on who there is divide all
-// slots, and a host that leaves changes only its own.
+// Guards against slots that no host or two hosts own, and against a leaving host
+// that takes slots from the others.
 func TestSharesCoverEachSlotOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		owners := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,8}`), 1, 9, rapid.ID[string]).Draw(t, "owners")
@@ -49,8 +49,8 @@
 	})
 }
 
-// TestAccount draws random dealings: a host never counts on more slots than
-// it owns and has borrowed, less what it lent.
+// Guards against a host that uses more slots than it owns and has borrowed, less
+// those it lent, under random sequences of calls.
 func TestAccount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSlots("shares", "b", "c")
@@ -74,16 +74,16 @@
 				lent += CountSlots(s.Lend("b", rapid.IntRange(1, 9).Draw(t, "want"), 0))
 			},
 			"borrow": func(*rapid.T) {
-				s.Borrowed("c", []Grant{{Address: "10.9.9.9:1", Count: 2}})
+				s.AddBorrowed("c", []Grant{{Address: "10.9.9.9:1", Count: 2}})
 				borrowed += 2
 			},
-			"give back": func(*rapid.T) {
-				for _, grants := range s.GiveBack() {
+			"return idle": func(*rapid.T) {
+				for _, grants := range s.ReturnIdle() {
 					borrowed -= CountSlots(grants)
 				}
 			},
-			"returned": func(*rapid.T) {
-				s.Returned("b", []Grant{{Address: "10.0.0.1:1", Count: 8}})
+			"reclaim": func(*rapid.T) {
+				s.Reclaim("b", []Grant{{Address: "10.0.0.1:1", Count: 8}})
 				lent = s.LentTo("b")
 			},
 			"": func(t *rapid.T) {
@@ -106,7 +106,7 @@
 		{"served", Served, 0},
 		{"full", Full, fullPause},
 		{"leaving", LeavingNow, leavingPause},
-		{"unreachable", Unreachable, firstPause},
+		{"unreachable", Unreachable, minUnreachablePause},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -118,7 +118,7 @@
 			if s.pause > 0 {
 				_, ok = slots.Acquire(s.pause-1, 0)
 				qt.Assert(t, ok, qt.IsFalse)
-				at, pausing := slots.NextUsable(0)
+				at, pausing := slots.NextUsableAt(0)
 				qt.Assert(t, pausing, qt.IsTrue)
 				qt.Assert(t, at, qt.Equals, s.pause)
 			}
@@ -140,8 +140,8 @@
 	qt.Assert(t, ok, qt.IsTrue)
 }
 
-// TestSlowTarget: a target at a tenth of its speed is found, gets single
-// trials, and is taken back when it has recovered.
+// Guards against a slow target that is not detected, is probed too often, or
+// stays a suspect after it has recovered.
 func TestSlowTarget(t *testing.T) {
 	const slow = "10.0.0.0:1"
 	s := newSlots("shares")
@@ -165,7 +165,7 @@
 	qt.Assert(t, s.Suspects(), qt.DeepEquals, []string{slow})
 	attempts = map[string]int{}
 	run(400, time.Second)
-	qt.Assert(t, attempts[slow] > 0 && attempts[slow] <= 3, qt.IsTrue, qt.Commentf("%d trials in 4 s", attempts[slow]))
+	qt.Assert(t, attempts[slow] > 0 && attempts[slow] <= 3, qt.IsTrue, qt.Commentf("%d probes in 4 s", attempts[slow]))
 	run(6000, 100*time.Millisecond)
 	qt.Assert(t, s.Suspects(), qt.HasLen, 0)
 }
@@ -183,9 +183,9 @@
 	qt.Assert(t, s.Suspects(), qt.DeepEquals, []string{hanging})
 }
 
-// TestFewAreSuspects: suspicion never takes away more than a third of the
-// targets, so the only one is never a suspect.
-func TestFewAreSuspects(t *testing.T) {
+// Guards against more than a third of the targets becoming suspects, and so
+// against the only target becoming one.
+func TestSuspectsAreLimited(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 7} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			s := NewSlots("a", policy("shares"))
@@ -203,7 +203,7 @@
 	}
 }
 
-func TestNextUsableIsTheNextTrial(t *testing.T) {
+func TestNextUsableAtIsTheNextProbe(t *testing.T) {
 	s := NewSlots("a", policy("shares"))
 	s.SetTargets(targets(3, 2), []string{"a"})
 	for range 50 {
@@ -214,19 +214,19 @@
 		s.Acquire(time.Second, 0)
 	}
 	for range 2 {
-		s.Acquire(2*time.Second, 0) // notices the attempts that hang, and takes what is left
+		s.Acquire(2*time.Second, 0) // detects the hanging attempts, and takes the remaining slots
 	}
 	qt.Assert(t, s.Suspects(), qt.HasLen, 1)
 	s.Release(s.Suspects()[0], time.Second, Served, 2*time.Second)
 	_, ok := s.Acquire(2*time.Second, 0)
 	qt.Assert(t, ok, qt.IsFalse, qt.Commentf("only a suspect has room"))
-	at, ok := s.NextUsable(2 * time.Second)
+	at, ok := s.NextUsableAt(2 * time.Second)
 	qt.Assert(t, ok, qt.IsTrue)
 	_, ok = s.Acquire(at, 0)
 	qt.Assert(t, ok, qt.IsTrue)
 }
 
-func TestBaselinesUseEverySlot(t *testing.T) {
+func TestUnsharedPoliciesUseEverySlot(t *testing.T) {
 	for _, name := range []string{"random", "round-robin", "least-in-flight", "two-choices"} {
 		t.Run(name, func(t *testing.T) {
 			s := newSlots(name, "b", "c")
@@ -240,7 +240,7 @@
 	}
 }
 
-// same stands in for qt.Assert, which does not take a rapid.T.
+// same replaces qt.Assert, which does not accept a rapid.T.
 func same[T comparable](t *rapid.T, got, wanted T) {
 	if got != wanted {
 		t.Fatalf("got %v, wanted %v", got, wanted)
--- a/pkg/schedule/schedule.go
+++ b/pkg/schedule/schedule.go
@@ -16,7 +16,7 @@
 const (
 	meanTaskWeight = 0.05 // of a new sample in the mean of task times
 	retryBurst     = 100  // retries that may come at once
-	budgetPause    = 20 * time.Millisecond
+	retryPause     = 20 * time.Millisecond
 )
 
 // Rules are what the configuration says about a pool.
@@ -37,12 +37,12 @@
 // Scheduler holds the waiting jobs and the account of slots of one pool. It is
 // not safe for concurrent use.
 type Scheduler[J any] struct {
-	rules    Rules
-	queue    *admit.Queue[J]
-	slots    *route.Slots
-	lending  *route.Lending
-	budget   *retry.Budget
-	meanTask time.Duration
+	rules       Rules
+	queue       *admit.Queue[J]
+	slots       *route.Slots
+	lending     *route.Lending
+	budget      *retry.Budget
+	meanTask    time.Duration
 	pausedUntil time.Duration // the retries have used up their budget
 }
 
@@ -102,7 +102,7 @@
 	if !s.rules.Policy.Lends() {
 		return route.PeerLoad{}
 	}
-	return s.lending.PeerSum()
+	return s.lending.TotalPeerLoad()
 }
 
 // teamWaiting returns a team's waiting tasks on all hosts, taking its part at
@@ -155,18 +155,18 @@
 	s.slots.Release(start.Address, start.Began, outcome, now)
 	s.queue.TaskEnded(start.Item.Team)
 	if outcome == route.Served {
-		s.learn(now - start.Began)
+		s.addTaskTime(now - start.Began)
 	}
 	if !again {
 		return
 	}
 	s.queue.Requeue(start.Item)
 	if !s.budget.Take() {
-		s.pausedUntil = now + budgetPause
+		s.pausedUntil = now + retryPause
 	}
 }
 
-func (s *Scheduler[J]) learn(elapsed time.Duration) {
+func (s *Scheduler[J]) addTaskTime(elapsed time.Duration) {
 	if s.meanTask == 0 {
 		s.meanTask = elapsed
 		return
@@ -180,11 +180,11 @@
 	if s.queue.Waiting() == 0 {
 		return 0, false
 	}
-	at, found := s.slots.NextUsable(now)
+	at, found := s.slots.NextUsableAt(now)
 	if s.pausedUntil > now && (!found || s.pausedUntil < at) {
 		at, found = s.pausedUntil, true
 	}
-	if wait, ok := s.need(now).NextStep(); ok && (!found || now+wait < at) {
+	if wait, ok := s.need(now).NextThreshold(); ok && (!found || now+wait < at) {
 		at, found = now+wait, true
 	}
 	return at, found
--- a/pkg/schedule/schedule_test.go
+++ b/pkg/schedule/schedule_test.go
@@ -143,5 +143,5 @@
 	qt.Assert(t, again, qt.HasLen, 0, qt.Commentf("500 retries exceed the budget"))
 	at, ok := s.WakeAt(0)
 	qt.Assert(t, ok, qt.IsTrue)
-	qt.Assert(t, at, qt.Equals, budgetPause)
+	qt.Assert(t, at, qt.Equals, retryPause)
 }
