--- a/pkg/schedule/schedule.go
+++ b/pkg/schedule/schedule.go
@@ -1,7 +1,7 @@
-// Package schedule joins the decisions on the tasks of one pool at one entry
-// host: admission, whose turn it is, which slot is taken, when slots are
-// borrowed or lent, and how often what did not start is tried again. It does
-// no I/O; time and random numbers are passed in.
+// Package schedule combines the decisions on the tasks of one pool at one entry
+// host: which jobs are admitted, which task starts next and on which slot, when
+// slots are borrowed or lent, and how often tasks are retried that did not
+// start. It does no I/O; time and random numbers are passed in.
 package schedule
 
 import (
@@ -19,7 +19,7 @@
 	retryPause     = 20 * time.Millisecond
 )
 
-// Rules are what the configuration says about a pool.
+// Rules are the settings of a pool.
 type Rules struct {
 	Policy      route.Policy
 	Order       admit.Ordering
@@ -27,14 +27,14 @@
 	Shares      func(team string) admit.Share
 }
 
-// Start is a task that has a slot. J is the caller's type of jobs.
+// Start is a task to be started on a slot. J is the caller's type of jobs.
 type Start[J any] struct {
 	Item    *admit.Item[J]
 	Address string        // of the target
-	Began   time.Duration // when the slot was taken
+	Began   time.Duration // when the slot was acquired
 }
 
-// Scheduler holds the waiting jobs and the account of slots of one pool. It is
+// Scheduler holds the queued jobs and the account of slots of one pool. It is
 // not safe for concurrent use.
 type Scheduler[J any] struct {
 	rules       Rules
@@ -43,11 +43,11 @@
 	lending     *route.Lending
 	budget      *retry.Budget
 	meanTask    time.Duration
-	pausedUntil time.Duration // the retries have used up their budget
+	pausedUntil time.Duration // no task starts before, after the retry budget was used up
 }
 
-// New makes a scheduler for a host. retryRatio is the retries allowed a first
-// attempt. Configure has to be called before anything else.
+// New returns a scheduler for a host. retryRatio is the number of retries
+// allowed per first attempt. Configure must be called before any other method.
 func New[J any](host string, retryRatio float64) *Scheduler[J] {
 	s := &Scheduler[J]{budget: retry.NewBudget(retryRatio, retryBurst)}
 	s.queue = admit.NewQueue[J](nil, func(team string) admit.Share { return s.rules.Shares(team) })
@@ -56,7 +56,7 @@
 	return s
 }
 
-// Configure takes new rules, the targets of the own domain, the hosts that
+// Configure sets the rules, the targets of the host's domain, the hosts that
 // share them, and the peers to borrow from.
 func (s *Scheduler[J]) Configure(rules Rules, targets []route.Target, owners []string, lenders []route.Lender) {
 	s.rules = rules
@@ -66,21 +66,22 @@
 	s.lending.SetLenders(lenders)
 }
 
-// Request is a job that asks to be taken in.
+// Request is the admission request of a job.
 type Request struct {
 	Team     string
 	Tasks    int
-	Left     time.Duration // to the deadline
-	MaxQueue int           // tasks of one team that may wait
+	Left     time.Duration // until the deadline
+	MaxQueue int           // queued tasks allowed per team
 }
 
-// Admit returns nil when a job is taken in, or why not.
+// Admit returns nil if the job is admitted, and the refusal otherwise. unit, a
+// random number in [0, 1), spreads the RetryAfter of refusals.
 func (s *Scheduler[J]) Admit(r Request, unit float64) *errkind.Error {
 	share := s.rules.Shares(r.Team)
 	peers := s.lendingPeers()
 	capacity := max(s.slots.Usable(), s.slots.Busy()) + peers.Usable
 	if capacity == 0 && s.rules.Policy.Lends() && s.slots.Capacity() > 0 {
-		capacity = 1 // all slots are on their way between hosts
+		capacity = 1 // all slots are in transit between hosts
 	}
 	load := admit.Load{
 		Waiting:     s.queue.Waiting() + peers.Waiting,
@@ -95,9 +96,9 @@
 	return admit.Decide(load, r.Tasks, r.Left, unit)
 }
 
-// lendingPeers returns the load of the peers, with whom this host makes one
-// pool as far as slots are lent: a task waits about as long as all hosts'
-// tasks take on all hosts' slots.
+// lendingPeers returns the total load of the peers if slots are lent. The hosts
+// then act as one pool, and the time in the queue depends on the tasks and the
+// slots of all of them.
 func (s *Scheduler[J]) lendingPeers() route.PeerLoad {
 	if !s.rules.Policy.Lends() {
 		return route.PeerLoad{}
@@ -105,8 +106,9 @@
 	return s.lending.TotalPeerLoad()
 }
 
-// teamWaiting returns a team's waiting tasks on all hosts, taking its part at
-// the peers to be its part here; of an idle host's peers it assumes the most.
+// teamWaiting estimates a team's queued tasks on all hosts: the team's share of
+// the peers' queues is taken to be its share of this host's queue, or all of
+// them if this host's queue is empty.
 func (s *Scheduler[J]) teamWaiting(team string, peers route.PeerLoad) int {
 	own, ofTeam := s.queue.Waiting(), s.queue.WaitingOf(team)
 	if own == 0 {
@@ -115,14 +117,15 @@
 	return ofTeam + peers.Waiting*ofTeam/own
 }
 
-// Add takes in a job that may start. Pump must follow.
+// Add queues a job whose tasks may start. The caller must call Pump afterwards.
 func (s *Scheduler[J]) Add(item *admit.Item[J]) { s.queue.Add(item) }
 
-// Drop takes a job's waiting tasks out. Pump must follow.
+// Drop removes a job's queued tasks. The caller must call Pump afterwards.
 func (s *Scheduler[J]) Drop(item *admit.Item[J]) { s.queue.Remove(item) }
 
-// Pump gives slots to waiting tasks for as long as both are there, then
-// decides on borrowing and lending. unit draws a random number in [0, 1).
+// Pump starts queued tasks while there are usable slots, then decides on
+// borrowing and lending. It returns the tasks to start and the messages to send.
+// unit returns a random number in [0, 1).
 func (s *Scheduler[J]) Pump(now time.Duration, unit func() float64) ([]Start[J], []route.Message) {
 	var starts []Start[J]
 	var messages []route.Message
@@ -143,14 +146,15 @@
 	return starts, append(messages, s.lending.Balance(s.need(now), now)...)
 }
 
+// need returns the demand for slots of the tasks that are still queued.
 func (s *Scheduler[J]) need(now time.Duration) route.Need {
 	oldest, _ := s.queue.OldestArrival()
 	first, _ := s.queue.FirstOrderKey()
 	return route.Need{Tasks: s.queue.Startable(), Waited: now - oldest, Place: first, After: s.rules.BorrowAfter}
 }
 
-// Complete frees the slot of an attempt. again says that the task did not
-// start and waits once more. Pump must follow.
+// Complete frees the slot of an attempt that ended. If again is true, the task
+// did not start and is queued again. The caller must call Pump afterwards.
 func (s *Scheduler[J]) Complete(start Start[J], outcome route.Outcome, again bool, now time.Duration) {
 	s.slots.Release(start.Address, start.Began, outcome, now)
 	s.queue.TaskEnded(start.Item.Team)
@@ -174,8 +178,8 @@
 	s.meanTask += time.Duration(meanTaskWeight * float64(elapsed-s.meanTask))
 }
 
-// WakeAt returns when Pump should be called again although nothing happens,
-// or false when there is no such time.
+// WakeAt returns when Pump must be called again if no event occurs before, or
+// false if there is no such time.
 func (s *Scheduler[J]) WakeAt(now time.Duration) (time.Duration, bool) {
 	if s.queue.Waiting() == 0 {
 		return 0, false
@@ -190,23 +194,23 @@
 	return at, found
 }
 
-// SetLeaving takes the news that a target is leaving or has come back.
+// SetLeaving records whether a target is leaving.
 func (s *Scheduler[J]) SetLeaving(address string, leaving bool) { s.slots.SetLeaving(address, leaving) }
 
-// Lending returns the part that takes the messages of lending. Pump must
-// follow each.
+// Lending returns the handler of lending messages. The caller must call Pump
+// after each message.
 func (s *Scheduler[J]) Lending() *route.Lending { return s.lending }
 
-// Load tells what a scheduler is doing.
+// Load is the load of a scheduler.
 type Load struct {
-	Waiting  int      // tasks
-	Busy     int      // slots
-	Free     int      // slots
-	Usable   int      // slots that this host may fill at once
+	Waiting  int      // queued tasks
+	Busy     int      // slots with open attempts
+	Free     int      // slots that are usable now
+	Usable   int      // slots that this host may use, busy or free
 	Suspects []string // addresses of slow targets
 }
 
-// Load returns the present load.
+// Load returns the current load.
 func (s *Scheduler[J]) Load(now time.Duration) Load {
 	return Load{Waiting: s.queue.Waiting(), Busy: s.slots.Busy(), Free: s.slots.Free(now), Usable: s.slots.Usable(), Suspects: s.slots.Suspects()}
 }
--- a/pkg/schedule/schedule_test.go
+++ b/pkg/schedule/schedule_test.go
@@ -12,8 +12,8 @@
 
 func half() float64 { return 0.5 }
 
-// newScheduler makes host "a"'s scheduler over one target of its own with the
-// given slots, and a peer "b" that has told its load.
+// newScheduler returns the scheduler of host "a" with one target of its own and
+// a peer "b" with the given load.
 func newScheduler(t *testing.T, slots int, peer route.PeerLoad) *Scheduler[string] {
 	policy, err := route.Policies.Get("shares")
 	qt.Assert(t, err, qt.IsNil)
@@ -40,22 +40,22 @@
 	qt.Assert(t, s.Load(time.Second).Waiting, qt.Equals, 0)
 }
 
-func TestWhatDidNotStartWaitsAgain(t *testing.T) {
+func TestTaskThatDidNotStartIsRequeued(t *testing.T) {
 	s := newScheduler(t, 1, route.PeerLoad{})
 	add(s, "j", 1)
 	starts, _ := s.Pump(0, half)
 	s.Complete(starts[0], route.Full, true, 0)
 	starts, _ = s.Pump(0, half)
-	qt.Assert(t, starts, qt.HasLen, 0, qt.Commentf("a target that is full gets a pause"))
+	qt.Assert(t, starts, qt.HasLen, 0, qt.Commentf("a full target is paused"))
 	at, ok := s.WakeAt(0)
 	qt.Assert(t, ok, qt.IsTrue)
 	starts, _ = s.Pump(at, half)
 	qt.Assert(t, starts, qt.HasLen, 1)
 }
 
-// TestRecalledSlotsGoBackFirst: a lender that wants its slots gets them though
-// the borrower's own tasks wait, and gets no more than it wants.
-func TestRecalledSlotsGoBackFirst(t *testing.T) {
+// Guards against a borrower that uses recalled slots for its own queued tasks,
+// or returns more slots than were recalled.
+func TestRecalledSlotsAreReturnedFirst(t *testing.T) {
 	s := newScheduler(t, 1, route.PeerLoad{Idle: 3, Usable: 3})
 	add(s, "large", 20)
 	_, messages := s.Pump(0, half)
@@ -74,7 +74,7 @@
 			qt.Assert(t, route.CountSlots(messages[0].Grants), qt.Equals, 1)
 			continue
 		}
-		qt.Assert(t, next, qt.HasLen, 1, qt.Commentf("the rest is kept"))
+		qt.Assert(t, next, qt.HasLen, 1, qt.Commentf("slots that were not recalled are used again"))
 	}
 }
 
@@ -105,15 +105,15 @@
 	}
 }
 
-// TestAdmitWithoutOwnSlots: a host that is leaving owns no slots, and those of
-// its peers may all be on their way; only a domain without targets refuses.
+// Guards against refusals by a host that owns no slots while all slots of its
+// peers are in transit. Only a domain without usable targets refuses.
 func TestAdmitWithoutOwnSlots(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		leaving  bool // the one target
 		expected errkind.Kind
 	}{
-		{"slots on their way", false, ""},
+		{"slots in transit", false, ""},
 		{"no target", true, errkind.NoTarget},
 	}
 	for _, sc := range scenarios {
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestRetriesPauseWithoutABudget(t *testing.T) {
+func TestRetriesPauseWhenBudgetIsUsedUp(t *testing.T) {
 	s := newScheduler(t, 1000, route.PeerLoad{})
 	add(s, "j", 500)
 	starts, _ := s.Pump(0, half)
