--- a/pkg/once/backup.go
+++ b/pkg/once/backup.go
@@ -5,12 +5,12 @@
 // Ack is a backup's reply to a record.
 type Ack uint8
 
-// The replies to a record.
+// Replies to a record.
 const (
-	Acked       Ack = iota + 1 // remembered
-	Fenced                     // the home is fenced: the primary must not start the id
-	WrongBackup                // the record names another incarnation as backup
-	Full                       // no room to remember
+	Acked       Ack = iota + 1 // recorded
+	Fenced                     // the home is fenced or evicted: the primary must not start the id
+	WrongBackup                // the id names another incarnation as backup
+	Full                       // MaxIDs is reached
 )
 
 type backupHome struct {
@@ -24,23 +24,22 @@
 	epoch   uint64
 }
 
-// Backup is the memory that one process keeps for the primaries that named it
+// Backup holds the ids recorded by one process for the primaries that named it
 // as their backup. It is not safe for concurrent use.
 type Backup struct {
-	self   Incarnation
-	policy Policy
-	homes  map[homeKey]*backupHome
-	low    map[Incarnation]uint64 // by primary: epochs below it are evicted
-	ids    int
+	self     Incarnation
+	policy   Policy
+	homes    map[homeKey]*backupHome
+	minEpoch map[Incarnation]uint64 // by primary: epochs below it are evicted
+	ids      int
 }
 
-// NewBackup makes the memory of a process that just started.
+// NewBackup returns the empty Backup of a process that has just started.
 func NewBackup(self Incarnation, policy Policy) *Backup {
-	return &Backup{self: self, policy: policy, homes: map[homeKey]*backupHome{}, low: map[Incarnation]uint64{}}
+	return &Backup{self: self, policy: policy, homes: map[homeKey]*backupHome{}, minEpoch: map[Incarnation]uint64{}}
 }
 
-// Record remembers id before its primary starts it. Recording an id again is
-// acknowledged again.
+// Record records id before its primary starts it. It is idempotent.
 func (b *Backup) Record(id ID, digest uint64, now time.Duration) Ack {
 	if id.Home.Backup != b.self {
 		return WrongBackup
@@ -61,8 +60,9 @@
 	return Acked
 }
 
-// Copy keeps the primary's answer to a recorded id. At a planned stop it may
-// also bring ids that were refused and so were never recorded.
+// Copy stores the primary's answer to a recorded id. It ignores other ids: at a
+// planned stop, a primary also sends answers to refused ids, which were never
+// recorded.
 func (b *Backup) Copy(id ID, answer *Answer) {
 	h := b.homes[homeKey{id.Home.Primary, id.Home.Epoch}]
 	if h == nil || id.Home.Backup != b.self {
@@ -76,33 +76,35 @@
 	known.answer = answer
 }
 
-// Fence closes the home of id for good and returns what may be said about id:
-// its answer, or that it may have run, or that it did not run, or that the
-// memory of its home is gone.
+// Fence closes the home of id permanently and returns an answer to id: the
+// primary's answer if there is a copy, Failed if id was recorded, Refused if it
+// was not, and Unknown if its home was evicted or id names another backup. A
+// digest of 0 matches every body.
 func (b *Backup) Fence(id ID, digest uint64, now time.Duration) *Answer {
 	if id.Home.Backup != b.self {
-		return unknownForgotten()
+		return forgottenAnswer()
 	}
 	b.evict(now)
 	h := b.open(id.Home, now)
 	if h == nil {
-		return unknownForgotten()
+		return forgottenAnswer()
 	}
 	h.fenced = true
 	known := h.entries[id.Part]
 	if known == nil {
-		return refusedHomeClosed()
+		return homeClosedAnswer()
 	}
 	if known.state != ended {
-		return failedMayHaveRun()
+		return mayHaveRunAnswer()
 	}
 	if digest != 0 && known.digest != digest {
-		return unknownIDReused()
+		return idReusedAnswer()
 	}
 	return known.answer
 }
 
-// FenceHome closes a home for good, as its primary asks for at a planned stop.
+// FenceHome closes a home permanently. Its primary requests this at a planned
+// stop.
 func (b *Backup) FenceHome(home Home, now time.Duration) {
 	if home.Backup != b.self {
 		return
@@ -112,13 +114,13 @@
 	}
 }
 
-// Len returns the number of ids that are remembered.
+// Len returns the number of recorded ids.
 func (b *Backup) Len() int { return b.ids }
 
-// open returns the memory of a home, made when it is new, or nil when it was
-// evicted.
+// open returns the entries of a home and creates them if the home is new. It
+// returns nil if the home was evicted.
 func (b *Backup) open(home Home, now time.Duration) *backupHome {
-	if home.Epoch < b.low[home.Primary] {
+	if home.Epoch < b.minEpoch[home.Primary] {
 		return nil
 	}
 	key := homeKey{home.Primary, home.Epoch}
@@ -130,9 +132,10 @@
 	return h
 }
 
-// evict drops homes whose records are all older than the retention. The
-// primary counts from the minting of a home and the backup from its first
-// sight, which is later by at most the home's life, hence the sum.
+// evict removes homes whose records are all older than the retention. The
+// primary counts the retention from the minting of a home, and the backup from
+// the first request for it. The sum of HomeLife and Retention covers records of
+// the home's last submissions.
 func (b *Backup) evict(now time.Duration) {
 	for key, h := range b.homes {
 		if now-h.firstSeen <= b.policy.HomeLife+b.policy.Retention {
@@ -140,8 +143,8 @@
 		}
 		b.ids -= len(h.entries)
 		delete(b.homes, key)
-		// low grows by 24 bytes a primary that ever named this process, and is
-		// kept: a forgotten home must never be taken for a new one.
-		b.low[key.primary] = max(b.low[key.primary], key.epoch+1)
+		// An entry is kept for each primary that ever named this process: an
+		// evicted home must never be taken for a new one.
+		b.minEpoch[key.primary] = max(b.minEpoch[key.primary], key.epoch+1)
 	}
 }
--- a/pkg/once/backup_test.go
+++ b/pkg/once/backup_test.go
@@ -27,9 +27,9 @@
 		{"recorded", func(b *Backup) { b.Record(id, 1, 0) }, id, 1, 0, Failed, errkind.MayHaveRun},
 		{"recorded and answered", func(b *Backup) { b.Record(id, 1, 0); b.Copy(id, complete()) }, id, 1, 0, Complete, ""},
 		{"answered, another body", func(b *Backup) { b.Record(id, 1, 0); b.Copy(id, complete()) }, id, 2, 0, Unknown, errkind.IDReused},
-		{"answered, no body asked", func(b *Backup) { b.Record(id, 1, 0); b.Copy(id, complete()) }, id, 0, 0, Complete, ""},
+		{"answered, asked without a body", func(b *Backup) { b.Record(id, 1, 0); b.Copy(id, complete()) }, id, 0, 0, Complete, ""},
 		{"a copy without a record is dropped", func(b *Backup) { b.Copy(id, complete()) }, id, 1, 0, Refused, errkind.HomeClosed},
-		{"forgotten", func(b *Backup) { b.Record(id, 1, 0) }, id, 1, forgotten, Unknown, errkind.Forgotten},
+		{"home evicted", func(b *Backup) { b.Record(id, 1, 0) }, id, 1, forgotten, Unknown, errkind.Forgotten},
 		{"another host's", func(*Backup) {}, other, 1, 0, Unknown, errkind.Forgotten},
 	}
 	for _, s := range scenarios {
@@ -56,7 +56,7 @@
 	}{
 		{"first", func(*Backup) {}, id, 0, Acked},
 		{"again", func(b *Backup) { b.Record(id, 1, 0) }, id, 0, Acked},
-		{"fenced by a question", func(b *Backup) { b.Fence(ID{Home: home, Part: "y"}, 1, 0) }, id, 0, Fenced},
+		{"fenced by a request about another id", func(b *Backup) { b.Fence(ID{Home: home, Part: "y"}, 1, 0) }, id, 0, Fenced},
 		{"fenced at a stop", func(b *Backup) { b.FenceHome(home, 0) }, id, 0, Fenced},
 		{"another backup", func(*Backup) {}, ID{Home: Home{Primary: Incarnation{1}, Backup: Incarnation{9}, Epoch: 3}, Part: "x"}, 0, WrongBackup},
 		{"full", func(b *Backup) {
@@ -64,7 +64,7 @@
 				b.Record(ID{Home: home, Part: part}, 1, 0)
 			}
 		}, id, 0, Full},
-		{"a home whose memory is gone", func(b *Backup) { b.Record(id, 1, 0) }, id, testPolicy.HomeLife + testPolicy.Retention + 1, Fenced},
+		{"home evicted", func(b *Backup) { b.Record(id, 1, 0) }, id, testPolicy.HomeLife + testPolicy.Retention + 1, Fenced},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/pkg/once/bench_test.go
+++ b/pkg/once/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkBytesPerID measures what an ended id costs in memory at its
-// primary and at its backup; docs/CAPACITY.md uses the slopes.
+// BenchmarkBytesPerID measures the memory per id: of an ended id at its primary,
+// and of a recorded id at its backup.
 func BenchmarkBytesPerID(b *testing.B) {
 	for _, ids := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprintf("primary/ids=%d", ids), func(b *testing.B) {
--- a/pkg/once/explore_test.go
+++ b/pkg/once/explore_test.go
@@ -11,28 +11,29 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The explorer tries every interleaving of what can happen to submissions of
-// one home, up to the budgets of a scenario, against the real Primary and
-// Backup. Messages may be lost, doubled and reordered at any point.
+// The explorer is a model checker: it visits every interleaving of the events
+// of submissions under one home, within the budgets of a scenario, with the real
+// Primary and Backup. Messages may be lost and reordered at any point.
 
-// rules can each be taken out, to show that the explorer notices.
+// rules are the rules of the protocol. Tests disable each of them to show that
+// the explorer detects its absence.
 type rules struct {
-	recordFirst bool // the record comes before the start
-	fence       bool // the backup fences before it answers
-	closeID     bool // an id whose record was lost is closed
-	forgetLoud  bool // memory that is gone is said to be gone
+	recordFirst     bool // the backup's acknowledgement precedes the start
+	fence           bool // the backup fences the home before it answers
+	closeID         bool // an id without an acknowledged record ends
+	reportForgotten bool // ids under an evicted home are answered with Unknown
 }
 
 func allRules() rules {
-	return rules{recordFirst: true, fence: true, closeID: true, forgetLoud: true}
+	return rules{recordFirst: true, fence: true, closeID: true, reportForgotten: true}
 }
 
 type messageKind uint8
 
 const (
 	toPrimary messageKind = iota // a submission
-	toOther                      // a submission at a host that is neither
-	toBackup                     // a question about an id
+	toOther                      // a submission to a host that is neither primary nor backup
+	toBackup                     // a request for the answer to an id
 	recordMsg
 	ackMsg
 	copyMsg
@@ -55,40 +56,39 @@
 	return text
 }
 
-// budgets bound how often a thing may happen on one path.
+// budgets limit how often each event may occur on one path.
 type budgets struct {
 	submits, freezes, primaryKills, backupKills, stops, expiries, cancels, losses int
 }
 
-// part is the state of one submission outside the primary's and backup's
-// memories.
+// part is the state of one submission outside the primary and the backup.
 type part struct {
-	waiting   int  // submissions that wait at the primary
-	recordOut bool // the primary waits for the acknowledgement
-	starts    int  // by the primary of the home
-	moved     bool // the caller was told "not run" and ran it under a new id
-	complete  bool // the caller has the whole answer
+	waiting     int  // open requests at the primary
+	recordOut   bool // the acknowledgement is outstanding
+	starts      int  // by the primary of the home
+	resubmitted bool // the caller received Refused and submitted under a new id
+	complete    bool // the caller received all results
 }
 
 type world struct {
-	rules    rules
-	p        *Primary
-	b        *Backup
-	home     Home
-	now      time.Duration
-	alive    bool
-	frozen   bool
-	stopping bool
-	bAlive   bool
-	left     budgets
-	parts    []part
-	messages []message
+	rules       rules
+	p           *Primary
+	b           *Backup
+	home        Home
+	now         time.Duration
+	alive       bool
+	frozen      bool
+	stopping    bool
+	backupAlive bool
+	left        budgets
+	parts       []part
+	messages    []message
 }
 
 var explorePolicy = Policy{HomeLife: 10, Retention: 100, MaxIDs: 100}
 
 func newWorld(r rules, b budgets, parts int) *world {
-	w := &world{rules: r, alive: true, bAlive: true, left: b, parts: make([]part, parts)}
+	w := &world{rules: r, alive: true, backupAlive: true, left: b, parts: make([]part, parts)}
 	primary, backup := Incarnation{1}, Incarnation{2}
 	w.p = NewPrimary(primary, "d", explorePolicy)
 	w.b = NewBackup(backup, explorePolicy)
@@ -109,14 +109,14 @@
 		copied.entries = cloneEntries(h.entries)
 		p.homes[epoch] = &copied
 	}
-	b.homes, b.low = map[homeKey]*backupHome{}, map[Incarnation]uint64{}
+	b.homes, b.minEpoch = map[homeKey]*backupHome{}, map[Incarnation]uint64{}
 	for key, h := range w.b.homes {
 		copied := *h
 		copied.entries = cloneEntries(h.entries)
 		b.homes[key] = &copied
 	}
-	for inc, low := range w.b.low {
-		b.low[inc] = low
+	for inc, epoch := range w.b.minEpoch {
+		b.minEpoch[inc] = epoch
 	}
 	c.p, c.b = &p, &b
 	return &c
@@ -131,10 +131,10 @@
 	return cloned
 }
 
-// key identifies a state, so that none is expanded twice.
+// key identifies a state, so that no state is expanded twice.
 func (w *world) key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, w.now, w.alive, w.frozen, w.stopping, w.bAlive, w.left, w.parts, w.p.low, w.p.last)
+	fmt.Fprint(&b, w.now, w.alive, w.frozen, w.stopping, w.backupAlive, w.left, w.parts, w.p.minEpoch, w.p.lastEpoch)
 	for epoch, h := range w.p.homes {
 		fmt.Fprint(&b, "P", epoch, h.closed, entriesKey(h.entries))
 	}
@@ -162,7 +162,7 @@
 	return strings.Join(texts, " ")
 }
 
-// action is one thing that can happen next.
+// action is an event that can occur next.
 type action struct {
 	name string
 	do   func(*world)
@@ -188,26 +188,26 @@
 	add(serving && w.left.freezes > 0, "freeze", func(w *world) { w.left.freezes--; w.frozen = true })
 	add(w.alive && w.frozen, "wake", func(w *world) { w.frozen = false })
 	add(w.alive && w.left.primaryKills > 0, "kill primary", func(w *world) { w.left.primaryKills--; w.alive = false })
-	add(w.bAlive && w.left.backupKills > 0, "kill backup", func(w *world) { w.left.backupKills--; w.bAlive = false })
+	add(w.backupAlive && w.left.backupKills > 0, "kill backup", func(w *world) { w.left.backupKills--; w.backupAlive = false })
 	add(serving && !w.stopping && w.left.stops > 0, "stop", func(w *world) { w.left.stops--; w.stopping = true; w.p.CloseAll() })
 	add(serving && w.stopping && w.idle(), "hand over", (*world).handOver)
 	add(w.left.expiries > 0, "home expires", func(w *world) { w.left.expiries--; w.now += explorePolicy.HomeLife + 1 })
-	add(w.left.expiries > 0, "memory expires", func(w *world) { w.left.expiries--; w.now += 3 * explorePolicy.Retention })
+	add(w.left.expiries > 0, "retention expires", func(w *world) { w.left.expiries--; w.now += 3 * explorePolicy.Retention })
 	seen := map[string]bool{}
 	for i, m := range w.messages {
 		if seen[m.String()] {
 			continue
 		}
 		seen[m.String()] = true
-		add(!w.frozen || !m.forPrimary(), "deliver "+m.String(), func(w *world) { w.take(i); w.deliver(m) })
-		add(w.left.losses > 0, "lose "+m.String(), func(w *world) { w.left.losses--; w.take(i) })
+		add(!w.frozen || !m.forPrimary(), "deliver "+m.String(), func(w *world) { w.removeMessage(i); w.deliver(m) })
+		add(w.left.losses > 0, "lose "+m.String(), func(w *world) { w.left.losses--; w.removeMessage(i) })
 	}
 	return actions
 }
 
 func (m message) forPrimary() bool { return m.kind == toPrimary || m.kind == ackMsg }
 
-func (w *world) take(i int) {
+func (w *world) removeMessage(i int) {
 	w.messages = append(append([]message(nil), w.messages[:i]...), w.messages[i+1:]...)
 }
 
@@ -234,39 +234,40 @@
 			w.submitAtPrimary(m.part)
 		}
 	case toOther:
-		// It passes the job on, or suspects the primary, rightly or not. Both
-		// are tried, by leaving both messages to be delivered or lost.
+		// The host relays the job to the primary, or suspects the primary and
+		// turns to the backup. Sending both messages covers both cases, as each
+		// may be lost.
 		w.send(message{kind: toPrimary, part: m.part})
 		w.send(message{kind: toBackup, part: m.part})
 	case toBackup:
-		if w.bAlive {
-			w.ask(m.part)
+		if w.backupAlive {
+			w.fenceAtBackup(m.part)
 		}
 	case recordMsg:
-		if w.bAlive {
+		if w.backupAlive {
 			w.send(message{kind: ackMsg, part: m.part, ack: w.b.Record(w.id(m.part), 1, w.now)})
 		}
 	case ackMsg:
 		if w.alive {
-			w.acked(m.part, m.ack)
+			w.receiveAck(m.part, m.ack)
 		}
 	case copyMsg:
-		if w.bAlive {
+		if w.backupAlive {
 			w.b.Copy(w.id(m.part), m.answer)
 		}
 	case fenceMsg:
-		if w.bAlive {
+		if w.backupAlive {
 			w.b.FenceHome(w.home, w.now)
 		}
 	case answerMsg:
-		w.answered(m.part, m.answer)
+		w.receiveAnswer(m.part, m.answer)
 	}
 }
 
 func (w *world) submitAtPrimary(i int) {
 	verdict, answer := w.p.Submit(w.id(i), 1, w.now)
-	if !w.rules.forgetLoud && answer != nil && answer.Outcome == Unknown {
-		answer = refusedHomeClosed()
+	if !w.rules.reportForgotten && answer != nil && answer.Outcome == Unknown {
+		answer = homeClosedAnswer()
 	}
 	switch verdict {
 	case Answered:
@@ -282,7 +283,7 @@
 	w.parts[i].waiting++
 }
 
-func (w *world) ask(i int) {
+func (w *world) fenceAtBackup(i int) {
 	h := w.b.homes[homeKey{w.home.Primary, w.home.Epoch}]
 	wasFenced := h != nil && h.fenced
 	answer := w.b.Fence(w.id(i), 1, w.now)
@@ -292,7 +293,7 @@
 	w.send(message{kind: answerMsg, part: i, answer: answer})
 }
 
-func (w *world) acked(i int, ack Ack) {
+func (w *world) receiveAck(i int, ack Ack) {
 	if !w.parts[i].recordOut {
 		return
 	}
@@ -314,7 +315,7 @@
 		return
 	}
 	delete(w.p.homes[w.home.Epoch].entries, w.id(i).Part)
-	w.reply(i, refusedHomeClosed())
+	w.reply(i, homeClosedAnswer())
 }
 
 func (w *world) finish(i int) {
@@ -346,36 +347,35 @@
 	w.alive = false
 }
 
-func (w *world) answered(i int, answer *Answer) {
+func (w *world) receiveAnswer(i int, answer *Answer) {
 	switch answer.Outcome {
 	case Refused:
-		w.parts[i].moved = true
+		w.parts[i].resubmitted = true
 	case Complete:
 		w.parts[i].complete = len(answer.Results) == 2 && answer.Results[0][0] == byte(i)
 		if !w.parts[i].complete {
-			panic("a partial answer, or another request's")
+			panic("partial answer, or an answer to another submission")
 		}
 	case Failed, Unknown:
 	}
 }
 
-// fault returns what is wrong in a state, or "".
+// fault returns the invariant that a state violates, or "".
 func (w *world) fault() string {
 	for i, s := range w.parts {
 		switch {
-		case s.starts > 1 || s.starts == 1 && s.moved:
-			return fmt.Sprintf("submission %d started although its caller was told that it did not run, or twice", i)
+		case s.starts > 1 || s.starts == 1 && s.resubmitted:
+			return fmt.Sprintf("submission %d started twice, or started although its caller received Refused", i)
 		case s.complete && s.starts == 0:
-			return fmt.Sprintf("submission %d is complete and never started", i)
+			return fmt.Sprintf("submission %d is complete but never started", i)
 		case s.waiting > 0 && w.stuck(i):
-			return fmt.Sprintf("submission %d waits for ever", i)
+			return fmt.Sprintf("submission %d never receives an answer", i)
 		}
 	}
 	return ""
 }
 
-// stuck reports whether a serving primary has nothing more to do about a
-// submission that waits.
+// stuck reports whether a live primary has no pending step for a submission.
 func (w *world) stuck(i int) bool {
 	e := w.p.lookup(w.id(i))
 	return w.alive && !w.parts[i].recordOut && (e == nil || e.state != running)
@@ -387,7 +387,8 @@
 	path   []string
 }
 
-// explore visits every state that can be reached, up to limit.
+// explore visits all reachable states breadth-first, up to limit. It stops at
+// the first fault and returns the path to it.
 func explore(start *world, limit int) exploration {
 	type node struct {
 		w    *world
@@ -437,11 +438,11 @@
 		{"freeze, false suspicion and lost messages", budgets{submits: 3, freezes: 1, losses: 2}, 1},
 		{"primary killed", budgets{submits: 3, primaryKills: 1, losses: 1}, 1},
 		{"backup killed while the primary is frozen", budgets{submits: 2, freezes: 1, backupKills: 1, losses: 1}, 1},
-		{"planned stop meets a kill", budgets{submits: 3, stops: 1, primaryKills: 1, losses: 1}, 1},
-		{"home and memory expire", budgets{submits: 3, expiries: 2, freezes: 1}, 1},
-		{"cancelled while anything goes", budgets{submits: 2, cancels: 1, freezes: 1, primaryKills: 1, losses: 1}, 1},
-		{"two submissions cross", budgets{submits: 3, freezes: 1, losses: 1}, 2},
-		{"everything once", budgets{submits: 2, freezes: 1, primaryKills: 1, backupKills: 1, stops: 1, expiries: 1, cancels: 1, losses: 1}, 1},
+		{"kill during a planned stop", budgets{submits: 3, stops: 1, primaryKills: 1, losses: 1}, 1},
+		{"home and retention expire", budgets{submits: 3, expiries: 2, freezes: 1}, 1},
+		{"cancelled during freeze, kill and loss", budgets{submits: 2, cancels: 1, freezes: 1, primaryKills: 1, losses: 1}, 1},
+		{"two concurrent submissions", budgets{submits: 3, freezes: 1, losses: 1}, 2},
+		{"each event once", budgets{submits: 2, freezes: 1, primaryKills: 1, backupKills: 1, stops: 1, expiries: 1, cancels: 1, losses: 1}, 1},
 	}
 	total := 0
 	for _, s := range scenarios {
@@ -452,28 +453,28 @@
 			t.Logf("%d states", found.states)
 		})
 	}
-	t.Logf("%d states in all", total)
+	t.Logf("%d states in total", total)
 }
 
-// TestExploreFindsMissingRules takes out one rule at a time: each has to be
-// missed.
+// Guards against an explorer that overlooks a violated rule: with any one rule
+// disabled, it must find a fault.
 func TestExploreFindsMissingRules(t *testing.T) {
 	scenarios := []struct {
 		testName string
-		takeOut  func(*rules)
+		disable  func(*rules)
 		budgets  budgets
 	}{
-		{"the record before the start", func(r *rules) { r.recordFirst = false }, budgets{submits: 2, primaryKills: 1, losses: 1}},
-		{"the fence", func(r *rules) { r.fence = false }, budgets{submits: 2, losses: 1}},
-		{"the closing of an id", func(r *rules) { r.closeID = false }, budgets{submits: 2, losses: 1}},
-		{"saying that memory is gone", func(r *rules) { r.forgetLoud = false }, budgets{submits: 2, expiries: 1}},
+		{"record before start", func(r *rules) { r.recordFirst = false }, budgets{submits: 2, primaryKills: 1, losses: 1}},
+		{"fence", func(r *rules) { r.fence = false }, budgets{submits: 2, losses: 1}},
+		{"end of an id without a record", func(r *rules) { r.closeID = false }, budgets{submits: 2, losses: 1}},
+		{"reporting an evicted home", func(r *rules) { r.reportForgotten = false }, budgets{submits: 2, expiries: 1}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
-			whole := explore(newWorld(allRules(), s.budgets, 1), exploreLimit)
-			qt.Assert(t, whole.fault, qt.Equals, "", qt.Commentf("path: %q", whole.path))
+			intact := explore(newWorld(allRules(), s.budgets, 1), exploreLimit)
+			qt.Assert(t, intact.fault, qt.Equals, "", qt.Commentf("path: %q", intact.path))
 			mutant := allRules()
-			s.takeOut(&mutant)
+			s.disable(&mutant)
 			found := explore(newWorld(mutant, s.budgets, 1), exploreLimit)
 			qt.Assert(t, found.fault, qt.Not(qt.Equals), "")
 			t.Logf("after %d states: %s: %q", found.states, found.fault, found.path)
--- a/pkg/once/home.go
+++ b/pkg/once/home.go
@@ -1,11 +1,12 @@
-// Package once decides whether a submission may start its tasks. It holds the
-// rules of homes, records and fences as pure state machines: no I/O, and time
-// is passed in as monotonic durations.
+// Package once decides whether a submission may start its tasks, so that they
+// start at most once. Primary and Backup are pure state machines: they do no
+// I/O, and time is passed in as monotonic durations.
 //
-// A home names a primary and a backup, both by incarnation. Only the primary
-// named in a submission's id ever starts its tasks, and only after the backup
-// has acknowledged a record of the id. The backup starts nothing; it can fence
-// a home, after which it acknowledges no further record of it.
+// A home is a replica pair of a primary and a backup, both named by
+// incarnation. Only the primary named in a submission's id starts its tasks, and
+// only after the backup has acknowledged a record of the id. The backup starts
+// no tasks. It can fence a home, after which it acknowledges no further record
+// under it.
 package once
 
 import (
@@ -30,7 +31,7 @@
 // Incarnation identifies one run of a process: 128 random bits, never reused.
 type Incarnation [incarnationBytes]byte
 
-// NewIncarnation draws an incarnation from r.
+// NewIncarnation reads a new incarnation from the random source r.
 func NewIncarnation(r io.Reader) (Incarnation, error) {
 	var inc Incarnation
 	_, err := io.ReadFull(r, inc[:])
@@ -48,7 +49,7 @@
 	return hex.EncodeToString(i[:])
 }
 
-// ParseIncarnation reads what String wrote.
+// ParseIncarnation parses the result of String.
 func ParseIncarnation(s string) (Incarnation, error) {
 	var inc Incarnation
 	if s == "0" {
@@ -62,23 +63,24 @@
 	return inc, nil
 }
 
-// Home names who may start the submissions whose ids carry it.
+// Home is a replica pair of a primary and a backup. It is part of each
+// submission's id and names the process that may start its tasks.
 type Home struct {
 	Domain  string      // failure domain of the primary and the backup
 	Primary Incarnation // the only process that starts tasks of the home's ids
-	Backup  Incarnation // acknowledges records; zero for a home without a backup
-	Epoch   uint64      // counts the homes that the primary minted
+	Backup  Incarnation // acknowledges records; zero if the home has no backup
+	Epoch   uint64      // number of the home among those that the primary minted, from 1
 }
 
 // HasBackup reports whether records of the home need an acknowledgement.
 func (h Home) HasBackup() bool { return !h.Backup.IsZero() }
 
-// String returns the home as it stands in ids: domain.primary.backup.epoch.
+// String returns the home as it is written in ids: domain.primary.backup.epoch.
 func (h Home) String() string {
 	return h.Domain + fieldSeparator + h.Primary.String() + fieldSeparator + h.Backup.String() + fieldSeparator + strconv.FormatUint(h.Epoch, 10)
 }
 
-// ParseHome reads what String wrote.
+// ParseHome parses the result of String.
 func ParseHome(s string) (Home, error) {
 	fields := strings.Split(s, fieldSeparator)
 	if len(fields) != homeFields || fields[0] == "" {
@@ -105,10 +107,10 @@
 	Part string // chosen by the caller, unique under its home
 }
 
-// String returns the id as it travels: home~part.
+// String returns the id in its wire form: home~part.
 func (id ID) String() string { return id.Home.String() + partSeparator + id.Part }
 
-// ParseID reads what String wrote.
+// ParseID parses the result of String.
 func ParseID(s string) (ID, error) {
 	homeText, part, found := strings.Cut(s, partSeparator)
 	if !found {
@@ -124,8 +126,8 @@
 	return ID{Home: home, Part: part}, nil
 }
 
-// HasHome reports whether an id text carries a home; a text without one is a
-// plain idempotency key.
+// HasHome reports whether the text of an id contains a home. A text without one
+// is a plain idempotency key.
 func HasHome(s string) bool { return strings.Contains(s, partSeparator) }
 
 func badID(format string, args ...any) error {
--- a/pkg/once/home_test.go
+++ b/pkg/once/home_test.go
@@ -17,7 +17,7 @@
 		expected ID
 		bad      bool
 	}{
-		{"whole id", home.String() + "~counter-12", ID{Home: home, Part: "counter-12"}, false},
+		{"id with a backup", home.String() + "~counter-12", ID{Home: home, Part: "counter-12"}, false},
 		{"home without a backup", Home{Domain: "d", Primary: primary, Epoch: 1}.String() + "~x", ID{Home: Home{Domain: "d", Primary: primary, Epoch: 1}, Part: "x"}, false},
 		{"no home", "counter-12", ID{}, true},
 		{"empty part", home.String() + "~", ID{}, true},
--- a/pkg/once/primary.go
+++ b/pkg/once/primary.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Policy bounds the memory of a primary and of a backup.
+// Policy limits what a primary and a backup keep.
 type Policy struct {
-	HomeLife  time.Duration // how long a home takes new submissions
+	HomeLife  time.Duration // how long a home accepts new submissions
 	Retention time.Duration // how long ids are kept, from the minting of their home
-	MaxIDs    int           // ids kept at most; past it the homes close early
+	MaxIDs    int           // maximum number of ids; homes close early when it is reached
 }
 
-// DefaultPolicy suits deadlines of up to four minutes.
+// DefaultPolicy returns a policy for deadlines of up to four minutes.
 func DefaultPolicy() Policy {
 	return Policy{HomeLife: time.Minute, Retention: 10 * time.Minute, MaxIDs: 1 << 20}
 }
@@ -17,13 +17,13 @@
 // Verdict tells a host what to do with a submission.
 type Verdict uint8
 
-// The verdicts on a submission.
+// Verdicts on a submission.
 const (
 	NotMine  Verdict = iota // another incarnation is the primary
 	Record                  // have the backup record the id, then call Recorded or RecordLost
 	Run                     // start the tasks
-	Join                    // the job is under way here; wait for its answer
-	Answered                // the answer is there
+	Join                    // the job is open at this host; wait for its answer
+	Answered                // the answer is available
 )
 
 type state uint8
@@ -31,10 +31,10 @@
 const (
 	recording state = iota // waiting for the backup's acknowledgement
 	running                // tasks may start
-	ended                  // the answer is kept
+	ended                  // the answer is stored
 )
 
-// entry is what a primary or a backup remembers of one id.
+// entry is the state of one id at a primary or a backup.
 type entry struct {
 	state  state
 	digest uint64 // of the submission's body
@@ -48,44 +48,45 @@
 	entries  map[string]*entry // by the id's part
 }
 
-// Primary is the memory of the submissions whose homes one process minted.
-// It is not safe for concurrent use.
+// Primary holds the submissions under the homes that one process minted. It is
+// not safe for concurrent use.
 type Primary struct {
-	self   Incarnation
-	domain string
-	policy Policy
-	homes  map[uint64]*primaryHome
-	last   uint64 // epoch of the newest home; 0 before the first
-	low    uint64 // epochs below it are evicted
-	ids    int
+	self      Incarnation
+	domain    string
+	policy    Policy
+	homes     map[uint64]*primaryHome
+	lastEpoch uint64 // epoch of the newest home; 0 before the first
+	minEpoch  uint64 // epochs below it are evicted
+	ids       int
 }
 
-// NewPrimary makes the memory of a process that just started.
+// NewPrimary returns the empty Primary of a process that has just started.
 func NewPrimary(self Incarnation, domain string, policy Policy) *Primary {
-	return &Primary{self: self, domain: domain, policy: policy, homes: map[uint64]*primaryHome{}, low: 1}
+	return &Primary{self: self, domain: domain, policy: policy, homes: map[uint64]*primaryHome{}, minEpoch: 1}
 }
 
-// Home returns the current home, minting one when there is none that still
-// has half its life and the wanted backup. The zero backup mints a home whose
-// submissions start without a record. ok is false while the memory is full.
+// Home returns the current home if it is open, has the given backup and is in
+// the first half of its HomeLife. Otherwise it mints a new home. Under a home
+// with the zero backup, submissions start without a record. ok is false while
+// MaxIDs is reached.
 func (p *Primary) Home(backup Incarnation, now time.Duration) (home Home, ok bool) {
 	p.evict(now)
-	current := p.homes[p.last]
-	if current != nil && p.isYoung(current, now) && current.home.Backup == backup {
+	current := p.homes[p.lastEpoch]
+	if current != nil && p.isFresh(current, now) && current.home.Backup == backup {
 		return current.home, true
 	}
 	if p.ids >= p.policy.MaxIDs {
 		p.closeAll()
 		return Home{}, false
 	}
-	p.last++
-	minted := Home{Domain: p.domain, Primary: p.self, Backup: backup, Epoch: p.last}
-	p.homes[p.last] = &primaryHome{home: minted, mintedAt: now, entries: map[string]*entry{}}
+	p.lastEpoch++
+	minted := Home{Domain: p.domain, Primary: p.self, Backup: backup, Epoch: p.lastEpoch}
+	p.homes[p.lastEpoch] = &primaryHome{home: minted, mintedAt: now, entries: map[string]*entry{}}
 	return minted, true
 }
 
 // Submit decides on a submission of id whose body has the given digest. The
-// answer is set with the verdict Answered alone.
+// answer is set only with the verdict Answered.
 func (p *Primary) Submit(id ID, digest uint64, now time.Duration) (Verdict, *Answer) {
 	if id.Home.Primary != p.self {
 		return NotMine, nil
@@ -99,12 +100,12 @@
 		return known.resubmit(digest)
 	}
 	if h.closed || now-h.mintedAt > p.policy.HomeLife {
-		// Nothing needs remembering: a closed home starts nothing new.
-		return Answered, refusedHomeClosed()
+		// The id needs no entry: a closed home accepts no new ids.
+		return Answered, homeClosedAnswer()
 	}
 	if p.ids >= p.policy.MaxIDs {
 		p.closeAll()
-		return Answered, refusedHomeClosed()
+		return Answered, homeClosedAnswer()
 	}
 	return p.add(h, id, digest), nil
 }
@@ -122,7 +123,7 @@
 
 func (e *entry) resubmit(digest uint64) (Verdict, *Answer) {
 	if e.digest != digest {
-		return Answered, unknownIDReused()
+		return Answered, idReusedAnswer()
 	}
 	if e.state == ended {
 		return Answered, e.answer
@@ -130,8 +131,8 @@
 	return Join, nil
 }
 
-// Recorded takes the backup's acknowledgement of id. It reports whether the
-// tasks may start now; they may not when the id ended in the meantime.
+// Recorded handles the backup's acknowledgement of id. It reports whether the
+// tasks may start now; they may not if the id has ended in the meantime.
 func (p *Primary) Recorded(id ID) bool {
 	known := p.lookup(id)
 	if known == nil || known.state != recording {
@@ -141,25 +142,26 @@
 	return true
 }
 
-// RecordLost takes the news that the backup did not acknowledge id: it is
-// dead, cut off, or fenced the home. It closes the home and the id, and
-// returns the answer.
+// RecordLost handles a missing or negative acknowledgement of id: the backup is
+// unreachable, has no room, or fenced the home. It closes the home, ends the id
+// and returns its answer.
 func (p *Primary) RecordLost(id ID) *Answer {
 	p.CloseHome(id.Home)
-	return p.End(id, refusedHomeClosed())
+	return p.End(id, homeClosedAnswer())
 }
 
-// CloseHome stops a home from taking new submissions, for good.
+// CloseHome stops a home permanently from accepting new submissions.
 func (p *Primary) CloseHome(home Home) {
 	if h := p.homes[home.Epoch]; h != nil && h.home == home {
 		h.closed = true
 	}
 }
 
-// CloseAll stops every home from taking new submissions, for a planned stop.
+// CloseAll stops all homes from accepting new submissions, for a planned stop.
 func (p *Primary) CloseAll() { p.closeAll() }
 
-// End keeps the answer to id and returns the answer that counts: the first.
+// End ends id with an answer and returns its answer: the first one stored, if
+// id had ended before.
 func (p *Primary) End(id ID, answer *Answer) *Answer {
 	known := p.lookup(id)
 	if known == nil {
@@ -173,7 +175,7 @@
 	return answer
 }
 
-// Answer returns the kept answer to id, or nil, and whether id is known.
+// Answer returns the stored answer to id, or nil, and whether id is known.
 func (p *Primary) Answer(id ID) (answer *Answer, known bool) {
 	found := p.lookup(id)
 	if found == nil {
@@ -182,8 +184,8 @@
 	return found.answer, true
 }
 
-// Each calls fn for every ended id whose home has a backup, for the handover
-// at a planned stop.
+// Each calls fn for each ended id whose home has a backup, for the handover to
+// the backups at a planned stop.
 func (p *Primary) Each(fn func(id ID, answer *Answer)) {
 	for _, h := range p.homes {
 		if !h.home.HasBackup() {
@@ -197,7 +199,7 @@
 	}
 }
 
-// Homes returns the homes that are remembered.
+// Homes returns the homes that have not been evicted.
 func (p *Primary) Homes() []Home {
 	homes := make([]Home, 0, len(p.homes))
 	for _, h := range p.homes {
@@ -206,23 +208,24 @@
 	return homes
 }
 
-// Len returns the number of ids that are remembered.
+// Len returns the number of ids that are kept.
 func (p *Primary) Len() int { return p.ids }
 
-// find returns the home's memory, or the answer to every id under a home
-// that is not remembered.
+// find returns the entries of a home, or, for a home without entries, the answer
+// to all ids under it.
 func (p *Primary) find(home Home) (*primaryHome, *Answer) {
 	h := p.homes[home.Epoch]
 	if h != nil && h.home == home {
 		return h, nil
 	}
-	if home.Epoch < p.low {
-		return nil, unknownForgotten()
+	if home.Epoch < p.minEpoch {
+		return nil, forgottenAnswer()
 	}
-	// This incarnation never minted it, so nothing ever ran under it.
-	return nil, refusedHomeClosed()
+	// This incarnation never minted the home, so no task ran under it.
+	return nil, homeClosedAnswer()
 }
 
+// lookup returns the entry of id, or nil.
 func (p *Primary) lookup(id ID) *entry {
 	h := p.homes[id.Home.Epoch]
 	if h == nil || h.home != id.Home {
@@ -231,7 +234,7 @@
 	return h.entries[id.Part]
 }
 
-func (p *Primary) isYoung(h *primaryHome, now time.Duration) bool {
+func (p *Primary) isFresh(h *primaryHome, now time.Duration) bool {
 	return !h.closed && now-h.mintedAt <= p.policy.HomeLife/2
 }
 
@@ -241,19 +244,19 @@
 	}
 }
 
-// evict drops homes older than the retention, in the order of their epochs.
-// A home with a job under way stays, and so do those after it.
+// evict removes homes older than the retention, in the order of their epochs. A
+// home with an open job is retained, and so are those after it.
 func (p *Primary) evict(now time.Duration) {
-	for p.low <= p.last {
-		h := p.homes[p.low]
+	for p.minEpoch <= p.lastEpoch {
+		h := p.homes[p.minEpoch]
 		if h != nil {
 			if now-h.mintedAt <= p.policy.Retention || h.isBusy() {
 				return
 			}
 			p.ids -= len(h.entries)
-			delete(p.homes, p.low)
+			delete(p.homes, p.minEpoch)
 		}
-		p.low++
+		p.minEpoch++
 	}
 }
 
--- a/pkg/once/primary_test.go
+++ b/pkg/once/primary_test.go
@@ -24,9 +24,9 @@
 		kind     errkind.Kind
 	}{
 		{"a new id is recorded first", func(*Primary, ID) {}, digest, 0, Record, 0, ""},
-		{"an id that waits for its record is joined", func(p *Primary, id ID) { p.Submit(id, digest, 0) }, digest, 0, Join, 0, ""},
+		{"an id whose record is outstanding is joined", func(p *Primary, id ID) { p.Submit(id, digest, 0) }, digest, 0, Join, 0, ""},
 		{"a running id is joined", func(p *Primary, id ID) { p.Submit(id, digest, 0); p.Recorded(id) }, digest, 0, Join, 0, ""},
-		{"an ended id has its answer kept", func(p *Primary, id ID) { p.Submit(id, digest, 0); p.Recorded(id); p.End(id, complete()) }, digest, 0, Answered, Complete, ""},
+		{"an ended id returns its stored answer", func(p *Primary, id ID) { p.Submit(id, digest, 0); p.Recorded(id); p.End(id, complete()) }, digest, 0, Answered, Complete, ""},
 		{"another body under the id", func(p *Primary, id ID) { p.Submit(id, digest, 0) }, digest + 1, 0, Answered, Unknown, errkind.IDReused},
 		{"a lost record closes the id", func(p *Primary, id ID) { p.Submit(id, digest, 0); p.RecordLost(id) }, digest, 0, Answered, Refused, errkind.HomeClosed},
 		{"a lost record closes the home for other ids", func(p *Primary, id ID) {
@@ -36,9 +36,9 @@
 		}, digest, 0, Answered, Refused, errkind.HomeClosed},
 		{"a new id under an expired home", func(*Primary, ID) {}, digest, 11 * time.Second, Answered, Refused, errkind.HomeClosed},
 		{"a known id under an expired home", func(p *Primary, id ID) { p.Submit(id, digest, 0); p.Recorded(id); p.End(id, complete()) }, digest, 50 * time.Second, Answered, Complete, ""},
-		{"an id older than the memory", func(p *Primary, id ID) { p.Submit(id, digest, 0); p.Recorded(id); p.End(id, complete()) }, digest, 101 * time.Second, Answered, Unknown, errkind.Forgotten},
-		{"a job under way is not forgotten", func(p *Primary, id ID) { p.Submit(id, digest, 0); p.Recorded(id) }, digest, 101 * time.Second, Join, 0, ""},
-		{"a full memory closes the homes", func(p *Primary, id ID) {
+		{"an id older than the retention", func(p *Primary, id ID) { p.Submit(id, digest, 0); p.Recorded(id); p.End(id, complete()) }, digest, 101 * time.Second, Answered, Unknown, errkind.Forgotten},
+		{"an open job is not evicted", func(p *Primary, id ID) { p.Submit(id, digest, 0); p.Recorded(id) }, digest, 101 * time.Second, Join, 0, ""},
+		{"reaching MaxIDs closes the homes", func(p *Primary, id ID) {
 			for _, part := range []string{"a", "b", "c"} {
 				p.Submit(ID{Home: id.Home, Part: part}, digest, 0)
 			}
@@ -68,7 +68,7 @@
 	p := NewPrimary(Incarnation{1}, "d", testPolicy)
 	verdict, _ := p.Submit(ID{Home: Home{Domain: "d", Primary: Incarnation{9}, Epoch: 1}, Part: "x"}, 1, 0)
 	qt.Assert(t, verdict, qt.Equals, NotMine)
-	// A home that this incarnation never minted cannot have run anything.
+	// No task can have run under a home that this incarnation never minted.
 	verdict, answer := p.Submit(ID{Home: Home{Domain: "d", Primary: Incarnation{1}, Epoch: 4}, Part: "x"}, 1, 0)
 	qt.Assert(t, verdict, qt.Equals, Answered)
 	qt.Assert(t, answer.Outcome, qt.Equals, Refused)
@@ -95,13 +95,13 @@
 	id := ID{Home: home, Part: "x"}
 	p.Submit(id, 1, 0)
 	refused := p.RecordLost(id)
-	qt.Assert(t, p.Recorded(id), qt.IsFalse, qt.Commentf("an acknowledgement that comes late starts nothing"))
-	qt.Assert(t, p.End(id, complete()), qt.Equals, refused, qt.Commentf("the first answer counts"))
+	qt.Assert(t, p.Recorded(id), qt.IsFalse, qt.Commentf("a late acknowledgement must not start the tasks"))
+	qt.Assert(t, p.End(id, complete()), qt.Equals, refused, qt.Commentf("the first answer is kept"))
 	_, ok := p.Home(Incarnation{2}, 0)
 	qt.Assert(t, ok, qt.IsTrue)
 }
 
-func TestPrimaryForgetsInBulk(t *testing.T) {
+func TestPrimaryEvictsExpiredHomes(t *testing.T) {
 	p := NewPrimary(Incarnation{1}, "d", testPolicy)
 	home, _ := p.Home(Incarnation{}, 0)
 	p.Submit(ID{Home: home, Part: "x"}, 1, 0)
