--- a/pkg/peer/counters.go
+++ b/pkg/peer/counters.go
@@ -14,8 +14,8 @@
 const (
 	ClassRecord   Class = iota // records and their replies
 	ClassCopy                  // answers copied to backups
-	ClassForward               // jobs passed on, and their answers
-	ClassBorrow                // wishes for slots
+	ClassForward               // forwarded jobs, and their answers
+	ClassBorrow                // requests for slots
 	ClassLend                  // slots lent
 	ClassReturn                // slots returned
 	ClassSnapshot              // configurations and lists of executors
@@ -30,7 +30,7 @@
 
 // Counters counts what this process sent to peers.
 type Counters struct {
-	Wire *traffic.Counter // of all bytes of the links; nil counts none
+	Wire *traffic.Counter // counts all bytes of the links; may be nil
 
 	frames [classCount]atomic.Uint64
 	bytes  [classCount]atomic.Uint64
@@ -41,8 +41,8 @@
 	return []Class{ClassRecord, ClassCopy, ClassForward, ClassBorrow, ClassLend, ClassReturn, ClassSnapshot, ClassControl}
 }
 
-// Frames returns the number of frames sent; a frame counts for the class of
-// its first message, so that batching shows.
+// Frames returns the number of frames sent. A frame counts for the class of its
+// first message only, so the ratio of messages to frames shows the batching.
 func (c *Counters) Frames(class Class) uint64 { return c.frames[class].Load() }
 
 // Bytes returns the bytes of those frames.
--- a/pkg/peer/ended_test.go
+++ b/pkg/peer/ended_test.go
@@ -15,7 +15,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestNothingIsHandledAfterThePeerHasLeft(t *testing.T) {
+func TestNoMessageIsHandledAfterSessionEnd(t *testing.T) {
 	c := qt.New(t)
 	var handled atomic.Int64
 	host := &fakeHost{handle: func(*peerpb.Message, Reply) { handled.Add(1) }}
@@ -30,14 +30,14 @@
 	c.Assert(handled.Load(), qt.Equals, int64(1))
 }
 
-func TestALinkThatIsGivenUpResetsItsConnection(t *testing.T) {
+func TestLostLinkResetsItsConnection(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer listener.Close()
 	ended := make(chan error, 1)
 	go func() {
-		// A peer that accepts and never answers: the link gives it up.
+		// The peer accepts the connection and never answers.
 		conn, err := listener.Accept()
 		if err != nil {
 			ended <- err
@@ -54,16 +54,16 @@
 	c.Assert(errors.Is(err, syscall.ECONNRESET), qt.IsTrue, qt.Commentf("the connection ended with %v", err))
 }
 
-// A withdrawal that overtook its job would find nothing, and the job would run for
-// nobody; a renewal that overtook a withdrawal would renew what was withdrawn.
-func TestWhatConcernsAJobStaysInOrder(t *testing.T) {
+// Guards against reordering: a withdrawal that overtakes its job has no effect, and a
+// renewal that overtakes a withdrawal renews a withdrawn job.
+func TestMessagesOfAJobStayInOrder(t *testing.T) {
 	c := qt.New(t)
 	s := &session{control: &pipe{}, jobs: &pipe{}}
 	messages := []*peerpb.Message{
 		{Body: &peerpb.Message_Dispatch{}},
 		{Body: &peerpb.Message_Withdraw{}},
 		{Body: &peerpb.Message_Renew{}},
-		{Body: &peerpb.Message_Join{}}, // one that leaves comes after it has joined
+		{Body: &peerpb.Message_Join{}}, // a later Join may end an earlier one
 	}
 	for _, m := range messages {
 		c.Assert(s.pipeFor(m), qt.Equals, s.jobs)
--- a/pkg/peer/link.go
+++ b/pkg/peer/link.go
@@ -23,7 +23,7 @@
 	longestBackoff = 2 * time.Second
 )
 
-// Observer is told of the state of links. Its methods must not block.
+// Observer is notified of the state of links. Its methods must not block.
 type Observer interface {
 	LinkUp(address string, hello *peerpb.Hello)
 	LinkDown(address string)
@@ -32,15 +32,15 @@
 	Heartbeat() *peerpb.Heartbeat
 }
 
-// Pacer is an Observer that wants some links to beat more slowly than others.
+// Pacer is an Observer that slows the heartbeats of some links down.
 type Pacer interface {
-	// Slowdown returns how many times the settings' interval and limit of
-	// silence hold on the link to an address; 1 at least.
+	// Slowdown returns the factor, at least 1, by which the settings' heartbeat
+	// interval and suspect timeout are multiplied on the link to an address.
 	Slowdown(address string) int
 }
 
-// Resumer is an Observer that wants to know when a link goes on by another
-// connection: one-way messages on the former one may be lost.
+// Resumer is an Observer that is notified when a link continues on another
+// connection: one-way messages on the former connection may be lost.
 type Resumer interface {
 	LinkResumed(address string, hello *peerpb.Hello)
 }
@@ -54,9 +54,9 @@
 	observer Observer
 	counters *Counters
 	session  atomic.Pointer[session]
-	calls    atomic.Uint64 // numbers calls, over all sessions
-	number   atomic.Uint64 // rises each time that the link comes up anew
-	nudge    chan struct{} // asks for a heartbeat at once
+	calls    atomic.Uint64 // number of the last call, over all sessions
+	number   atomic.Uint64 // increases each time that the link goes down
+	nudge    chan struct{} // requests an immediate heartbeat
 	cancel   context.CancelFunc
 }
 
@@ -76,9 +76,9 @@
 	}
 }
 
-// Call sends a message that may wait for company and returns the reply. It
-// fails with PeerDown when the link is down, goes down, or ctx ends; the peer
-// may have acted on the message all the same.
+// Call sends a message, which may be delayed by up to wait to share a frame with others, and
+// returns the reply. It fails with PeerDown when the link is down, goes down, or
+// ctx ends; the peer may have acted on the message nevertheless.
 func (l *Link) Call(ctx context.Context, m *peerpb.Message, wait time.Duration) (*peerpb.Message, error) {
 	s := l.session.Load()
 	if s == nil {
@@ -133,43 +133,44 @@
 		l.session.Store(s)
 		l.observer.LinkUp(l.address, s.peer)
 		l.Log.Info("link_up", "name", s.peer.Name)
-		l.keep(ctx, s)
+		l.maintain(ctx, s)
 		l.number.Add(1)
 		l.observer.LinkDown(l.address)
 		l.Log.Info("link_down", "name", s.peer.Name)
 	}
 }
 
-// keep beats until the peer is lost. The loss of a connection is not the peer's:
-// while the same process answers on another one, the link stays up. Calls on the
-// former connection fail, and may be made again at once.
-func (l *Link) keep(ctx context.Context, s *session) {
+// maintain sends heartbeats until the peer is lost. Losing a connection does not
+// mean losing the peer: while the same process answers on another connection, the
+// link stays up. Calls on the former connection fail and can be retried at once.
+func (l *Link) maintain(ctx context.Context, s *session) {
 	for s != nil {
-		next := l.beat(ctx, s)
+		next := l.sendHeartbeats(ctx, s)
 		l.session.Store(next)
 		s.close()
 		if next != nil {
 			l.Log.Info("link_resumed", "name", next.peer.Name)
-			l.tellResumed(next)
+			l.notifyResumed(next)
 		}
 		s = next
 	}
 }
 
-func (l *Link) tellResumed(s *session) {
+func (l *Link) notifyResumed(s *session) {
 	if resumer, ok := l.observer.(Resumer); ok {
 		resumer.LinkResumed(l.address, s.peer)
 	}
 }
 
-// open dials, opens both streams and exchanges hellos, each step within a time.
+// open dials, opens both streams and exchanges hellos. The time limit within holds
+// for the dial and for the hello separately.
 func (l *Link) open(within time.Duration) (*session, error) {
 	conn, err := net.DialTimeout("tcp", l.address, within)
 	if err != nil {
 		return nil, err
 	}
 	s := newSession(conn)
-	mux, err := yamux.Client(&heardConn{Conn: l.counters.Wire.Conn(conn), clock: l.Clock, heard: &s.lastHeard}, muxConfig())
+	mux, err := yamux.Client(&receiveTrackingConn{Conn: l.counters.Wire.Conn(conn), clock: l.Clock, lastReceived: &s.lastReceived}, muxConfig())
 	if err != nil {
 		_ = conn.Close()
 		return nil, err
@@ -193,7 +194,7 @@
 		s.close()
 		return nil, err
 	}
-	s.lastHeard.Store(int64(l.Clock.Now()))
+	s.lastReceived.Store(int64(l.Clock.Now()))
 	return s, nil
 }
 
@@ -218,16 +219,16 @@
 
 // Resuming a link on another connection.
 const (
-	// probeShare is the part of the limit of silence after which another
-	// connection is tried: more than one heartbeat has gone unanswered.
-	probeShare = 0.4
-	// resumeTimeout bounds each step of opening it. The server waits as long for
-	// a peer to come back before it counts it as gone.
+	// probeFraction is the fraction of the suspect timeout after which another
+	// connection is tried: more than one heartbeat is unanswered by then.
+	probeFraction = 0.4
+	// resumeTimeout bounds each step of opening it. The server waits as long for a
+	// peer to reconnect before it counts the link as closed.
 	resumeTimeout = 200 * time.Millisecond
 )
 
-// resume opens a connection in place of that of s, and returns nil when the peer
-// can't be reached or is another process by now.
+// resume opens a connection that replaces that of s. It returns nil when the peer
+// is unreachable or another process answers at its address.
 func (l *Link) resume(s *session) *session {
 	next, err := l.open(resumeTimeout)
 	if err != nil {
@@ -241,7 +242,7 @@
 	return next
 }
 
-// Nudge sends a heartbeat at once, for news that should not wait.
+// Nudge sends a heartbeat at once, for an update that should not wait.
 func (l *Link) Nudge() {
 	select {
 	case l.nudge <- struct{}{}:
@@ -249,12 +250,12 @@
 	}
 }
 
-// beat sends heartbeats until the session dies or its peer falls silent. It
-// returns the session to go on with, or nil when the peer is lost.
-func (l *Link) beat(ctx context.Context, s *session) *session {
+// sendHeartbeats sends heartbeats until the session ends or its peer is
+// unresponsive. It returns the session to continue with, or nil when the peer is lost.
+func (l *Link) sendHeartbeats(ctx context.Context, s *session) *session {
 	timer := time.NewTimer(l.settings.Heartbeat)
 	defer timer.Stop()
-	watch := &silenceWatch{link: l, lastTurn: l.Clock.Now(), lastLimit: l.settings.SuspectAfter}
+	watch := &livenessMonitor{link: l, lastCheck: l.Clock.Now(), lastLimit: l.settings.SuspectAfter}
 	l.Nudge()
 	for {
 		select {
@@ -267,21 +268,21 @@
 			if next != nil {
 				return next
 			}
-			watch.failed()
+			watch.probeFailed()
 			continue
 		case <-timer.C:
 		case <-l.nudge:
 		}
 		slowdown := l.slowdown()
 		timer.Reset(slowdown * l.settings.Heartbeat)
-		if watch.lost(s, slowdown) {
+		if watch.isPeerLost(s, slowdown) {
 			return nil
 		}
 		go l.heartbeat(s)
 	}
 }
 
-// slowdown returns the factor on the interval and the limit of silence.
+// slowdown returns the factor on the heartbeat interval and the suspect timeout.
 func (l *Link) slowdown() time.Duration {
 	if pacer, ok := l.observer.(Pacer); ok {
 		return time.Duration(pacer.Slowdown(l.address))
@@ -289,24 +290,24 @@
 	return 1
 }
 
-// replyLife is how many times the limit of silence the reply to a heartbeat is
-// waited for: on a full link, which other messages show to be up, it comes late.
-const replyLife = 2
+// replyTimeoutFactor times the suspect timeout is how long a heartbeat waits for its
+// reply, which comes late on a busy link that other messages show to be up.
+const replyTimeoutFactor = 2
 
 func (l *Link) heartbeat(s *session) {
-	ctx, cancel := context.WithTimeout(context.Background(), replyLife*l.slowdown()*l.settings.SuspectAfter)
+	ctx, cancel := context.WithTimeout(context.Background(), replyTimeoutFactor*l.slowdown()*l.settings.SuspectAfter)
 	defer cancel()
 	reply, err := l.Call(ctx, &peerpb.Message{Body: &peerpb.Message_Heartbeat{Heartbeat: l.observer.Heartbeat()}}, 0)
 	if err != nil || reply.GetHeartbeat() == nil {
 		return
 	}
-	s.lastHeard.Store(int64(l.Clock.Now()))
+	s.lastReceived.Store(int64(l.Clock.Now()))
 	l.observer.HeartbeatReply(l.address, reply)
 }
 
 func muxConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
-	config.EnableKeepAlive = false // our heartbeats find silent peers sooner
+	config.EnableKeepAlive = false // the heartbeats of Link detect unresponsive peers sooner
 	config.LogOutput = discard{}
 	config.MaxStreamWindowSize = 4 << 20
 	return config
--- a/pkg/peer/link_test.go
+++ b/pkg/peer/link_test.go
@@ -15,13 +15,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// fakeHost observes links and serves records in ways that a test sets.
+// fakeHost observes links and handles records with a function of the test.
 type fakeHost struct {
 	up  atomic.Int64
 	ups atomic.Int64 // times that a link came up
-	// resumed counts the links that went on by another connection.
+	// resumed counts the links that continued on another connection.
 	resumed atomic.Int64
-	// incarnation is the first byte of what the host tells of itself.
+	// incarnation is the first byte of the incarnation in the host's hello.
 	incarnation atomic.Int64
 	handle      func(m *peerpb.Message, reply Reply)
 	greeted     atomic.Int64
@@ -54,7 +54,7 @@
 	counters *Counters
 }
 
-// newRig links a host to another through a relay that can be cut.
+// newRig links two hosts through a relay that can be cut.
 func newRig(t *testing.T, handle func(m *peerpb.Message, reply Reply)) *rig {
 	c := common.NewTestCommon()
 	serverSide, err := net.Listen("tcp", "127.0.0.1:0")
@@ -82,7 +82,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("it never came about")
+			t.Fatal("the condition did not hold within 30 s")
 		}
 	}
 }
@@ -104,12 +104,12 @@
 	}{
 		{"answered", func(_ *peerpb.Message, reply Reply) { reply(acknowledge(7), 0) }, nil, ""},
 		{"answered twice", func(_ *peerpb.Message, reply Reply) { reply(acknowledge(7), 0); reply(acknowledge(8), 0) }, nil, ""},
-		{"answered late, in company", func(_ *peerpb.Message, reply Reply) { reply(acknowledge(7), 20*time.Millisecond) }, nil, ""},
+		{"answered late, in a batch", func(_ *peerpb.Message, reply Reply) { reply(acknowledge(7), 20*time.Millisecond) }, nil, ""},
 		{"a failure", func(_ *peerpb.Message, reply Reply) {
 			reply(FailureMessage(errkind.New(errkind.NotReady, "wait", "not yet")), 0)
 		}, nil, errkind.NotReady},
 		{"the peer is cut off", func(*peerpb.Message, Reply) {}, func(r *rig) { r.relay.SetCut(true) }, errkind.PeerDown},
-		{"the peer dies", func(*peerpb.Message, Reply) {}, func(r *rig) { r.server.Close() }, errkind.PeerDown},
+		{"the peer stops", func(*peerpb.Message, Reply) {}, func(r *rig) { r.server.Close() }, errkind.PeerDown},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -128,9 +128,8 @@
 	}
 }
 
-// TestLateReplyReachesNobody: the reply to a call that was given up does not
-// answer the next one.
-func TestLateReplyReachesNobody(t *testing.T) {
+// Guards against delivering the late reply of an abandoned call to the next call.
+func TestLateReplyIsDropped(t *testing.T) {
 	release := make(chan struct{})
 	r := newRig(t, func(m *peerpb.Message, reply Reply) {
 		if m.GetRecord().Part == "slow" {
@@ -141,7 +140,7 @@
 			return
 		}
 		close(release)
-		time.Sleep(10 * time.Millisecond) // lets the late reply leave first
+		time.Sleep(10 * time.Millisecond) // lets the late reply be sent first
 		reply(acknowledge(2), 0)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -153,8 +152,8 @@
 	qt.Assert(t, reply.GetRecordReply().GetAck(), qt.Equals, uint32(2))
 }
 
-// TestMessagesTravelTogether: messages that may wait share a frame.
-func TestMessagesTravelTogether(t *testing.T) {
+// Messages that may wait are sent in one frame.
+func TestMessagesAreBatched(t *testing.T) {
 	r := newRig(t, func(_ *peerpb.Message, reply Reply) { reply(acknowledge(1), 0) })
 	const calls = 20
 	done := make(chan error, calls)
@@ -170,8 +169,8 @@
 	qt.Assert(t, r.counters.Frames(ClassRecord) < calls/2, qt.IsTrue, qt.Commentf("%d frames", r.counters.Frames(ClassRecord)))
 }
 
-// TestLinkComesBack: after a cut the link is up again by itself.
-func TestLinkComesBack(t *testing.T) {
+// A link reconnects by itself after a network cut.
+func TestLinkReconnects(t *testing.T) {
 	r := newRig(t, func(_ *peerpb.Message, reply Reply) { reply(acknowledge(1), 0) })
 	r.relay.SetCut(true)
 	r.eventually(t, func() bool { return r.local.up.Load() == 0 })
--- a/pkg/peer/pipe.go
+++ b/pkg/peer/pipe.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	bufferBytes   = 4 << 10 // each way of a stream; a host at full size has hundreds
+	bufferBytes   = 4 << 10 // per direction of a stream; a host may have hundreds of streams
 	maxFrameBytes = 256 << 20
 )
 
-// pipe writes and reads frames on one stream. Messages that wait together
-// leave in one frame.
+// pipe writes and reads frames on one stream. Messages that are pending at the same
+// time are sent in one frame.
 type pipe struct {
 	conn     net.Conn
 	counters *Counters
-	kick     chan struct{}
+	wake     chan struct{}
 	closed   chan struct{}
 	once     sync.Once
 
 	mu      sync.Mutex
 	pending []*peerpb.Message
-	due     time.Time // when the first pending message has to leave
+	due     time.Time // when the pending messages must be sent
 }
 
 func newPipe(conn net.Conn, counters *Counters) *pipe {
-	p := &pipe{conn: conn, counters: counters, kick: make(chan struct{}, 1), closed: make(chan struct{})}
+	p := &pipe{conn: conn, counters: counters, wake: make(chan struct{}, 1), closed: make(chan struct{})}
 	go p.writeLoop()
 	return p
 }
 
-// send queues a message, which leaves within wait.
+// send queues a message, which is sent within wait.
 func (p *pipe) send(m *peerpb.Message, wait time.Duration) {
 	due := time.Now().Add(wait)
 	p.mu.Lock()
@@ -45,7 +45,7 @@
 	p.pending = append(p.pending, m)
 	p.mu.Unlock()
 	select {
-	case p.kick <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 }
@@ -66,7 +66,7 @@
 		select {
 		case <-p.closed:
 			return
-		case <-p.kick:
+		case <-p.wake:
 		case <-timer.C:
 		}
 		batch, wait := p.take()
@@ -80,8 +80,8 @@
 	}
 }
 
-// take returns the pending messages when the first is due, or how long to
-// wait for it.
+// take returns the pending messages once one of them is due, and otherwise how long
+// to wait.
 func (p *pipe) take() ([]*peerpb.Message, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,7 +105,7 @@
 	return out.Flush()
 }
 
-// readLoop hands each message to handle until the stream ends.
+// readLoop calls handle for each message until the stream ends.
 func (p *pipe) readLoop(handle func(*peerpb.Message)) error {
 	defer p.close()
 	in := bufio.NewReaderSize(p.conn, bufferBytes)
--- a/pkg/peer/resume_test.go
+++ b/pkg/peer/resume_test.go
@@ -11,15 +11,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A connection that ends, or falls silent for good, says nothing of the host at
-// its other end: the link stays up over another one, and the calls that were
-// under way fail at once, so that they can be made again.
-func TestALinkOutlivesItsConnection(t *testing.T) {
+// A link stays up on another connection when one ends or stops carrying data. Calls
+// under way fail at once, so that they can be retried.
+func TestLinkResumesOnAnotherConnection(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		lose     func(r *rig)
 	}{
-		{"it falls silent", func(r *rig) { r.relay.Silence() }},
+		{"it stops carrying data", func(r *rig) { r.relay.Silence() }},
 		{"it is reset", func(r *rig) { r.relay.Reset() }},
 	}
 	for _, s := range scenarios {
@@ -44,7 +43,7 @@
 			qt.Assert(t, r.link.session.Load(), qt.Not(qt.Equals), before)
 			_, err := r.link.Call(context.Background(), record("again"), 0)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Assert(t, r.local.ups.Load(), qt.Equals, int64(1), qt.Commentf("the observer isn't told of the loss"))
+			qt.Assert(t, r.local.ups.Load(), qt.Equals, int64(1), qt.Commentf("the observer isn't notified of the loss"))
 			r.eventually(t, func() bool { return r.local.resumed.Load() == 1 })
 		})
 	}
@@ -57,7 +56,7 @@
 	r.eventually(t, func() bool { return r.local.ups.Load() == 2 })
 }
 
-// departures notes which processes have left.
+// departures records the processes whose links were closed.
 type departures struct {
 	mu   sync.Mutex
 	left []byte
@@ -82,40 +81,40 @@
 // join opens a session and uses it.
 func join(c *callers, hello *peerpb.Hello) *servedSession {
 	s := &servedSession{}
-	c.greeted(hello)
-	c.used(hello, s)
+	c.onHello(hello)
+	c.activate(hello, s)
 	return s
 }
 
-func TestWhenACallerHasLeft(t *testing.T) {
+func TestWhenALinkIsClosed(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		play     func(c *callers)
 		want     []byte
 	}{
-		{"it lost its connection and doesn't come back", func(c *callers) {
-			c.ended(helloOf(1, 1), join(c, helloOf(1, 1)))
+		{"it lost its connection and doesn't reconnect", func(c *callers) {
+			c.onSessionEnd(helloOf(1, 1), join(c, helloOf(1, 1)))
 		}, []byte{1}},
-		{"it comes back", func(c *callers) {
-			c.ended(helloOf(1, 1), join(c, helloOf(1, 1)))
+		{"it reconnects", func(c *callers) {
+			c.onSessionEnd(helloOf(1, 1), join(c, helloOf(1, 1)))
 			join(c, helloOf(1, 1))
 		}, []byte{}},
-		{"it came back before its connection was known to be lost", func(c *callers) {
+		{"it reconnected before its connection was known to be lost", func(c *callers) {
 			s := join(c, helloOf(1, 1))
 			join(c, helloOf(1, 1))
-			c.ended(helloOf(1, 1), s)
+			c.onSessionEnd(helloOf(1, 1), s)
 		}, []byte{}},
-		{"it tries to come back, and has no answer", func(c *callers) {
-			c.ended(helloOf(1, 1), join(c, helloOf(1, 1)))
-			c.greeted(helloOf(1, 1))
-			c.ended(helloOf(1, 1), &servedSession{})
+		{"it tries to reconnect and gets no answer", func(c *callers) {
+			c.onSessionEnd(helloOf(1, 1), join(c, helloOf(1, 1)))
+			c.onHello(helloOf(1, 1))
+			c.onSessionEnd(helloOf(1, 1), &servedSession{})
 		}, []byte{1}},
-		{"it has counted the link as down: what it had under way is lost", func(c *callers) {
+		{"it has counted the link as down", func(c *callers) {
 			join(c, helloOf(1, 1))
-			c.greeted(helloOf(1, 2))
+			c.onHello(helloOf(1, 2))
 		}, []byte{1}},
 		{"another process took its place", func(c *callers) {
-			c.ended(helloOf(1, 1), join(c, helloOf(1, 1)))
+			c.onSessionEnd(helloOf(1, 1), join(c, helloOf(1, 1)))
 			join(c, helloOf(2, 1))
 		}, []byte{1}},
 	}
@@ -126,27 +125,26 @@
 			for deadline := time.Now().Add(10 * time.Second); len(d.all()) < len(s.want) && time.Now().Before(deadline); {
 				time.Sleep(time.Millisecond)
 			}
-			time.Sleep(2 * resumeTimeout) // a departure that isn't wanted would come by then
+			time.Sleep(2 * resumeTimeout) // an unexpected departure is reported by then
 			qt.Assert(t, d.all(), qt.DeepEquals, s.want)
 		})
 	}
 }
 
-// Nothing is handled from a session once its peer uses another one; one that the
-// peer only tries takes nothing from it.
-func TestWhenAnEarlierSessionIsOver(t *testing.T) {
+// A session is superseded once its peer uses another one, but not when the peer only
+// opens another one.
+func TestSupersededSession(t *testing.T) {
 	c := newCallers(func(*peerpb.Hello) {})
 	first := join(c, helloOf(1, 1))
-	c.greeted(helloOf(1, 1))
-	qt.Assert(t, first.over.Load(), qt.IsFalse)
-	c.used(helloOf(1, 1), &servedSession{})
-	qt.Assert(t, first.over.Load(), qt.IsTrue)
+	c.onHello(helloOf(1, 1))
+	qt.Assert(t, first.superseded.Load(), qt.IsFalse)
+	c.activate(helloOf(1, 1), &servedSession{})
+	qt.Assert(t, first.superseded.Load(), qt.IsTrue)
 }
 
-// A front that has given an owner up hands its jobs to another one. Where only the
-// answers of the owner are cut off, its next hello still comes through: the owner
-// has to count it as gone then, not as back.
-func TestALinkThatIsUpAnewHasAnotherNumber(t *testing.T) {
+// Guards against an owner that treats a hello as a resumed link after the front has
+// counted the link as down, which happens when only the owner's answers are cut off.
+func TestReopenedLinkHasAnotherNumber(t *testing.T) {
 	r := newRig(t, func(_ *peerpb.Message, reply Reply) { reply(acknowledge(7), 0) })
 	before := r.link.number.Load()
 	r.relay.Reset()
@@ -154,7 +152,7 @@
 		_, err := r.link.Call(context.Background(), record("x"), 0)
 		return err == nil
 	})
-	qt.Assert(t, r.link.number.Load(), qt.Equals, before, qt.Commentf("it is resumed"))
+	qt.Assert(t, r.link.number.Load(), qt.Equals, before, qt.Commentf("the link is resumed"))
 	r.relay.SetCutWays(false, true)
 	r.eventually(t, func() bool { return r.local.up.Load() == 0 })
 	qt.Assert(t, r.link.number.Load() > before, qt.IsTrue)
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -12,7 +12,8 @@
 	"github.com/hashicorp/yamux"
 )
 
-// Reply sends the reply to a call, which may wait for company.
+// Reply sends the reply to a call. It may be delayed by up to wait to share a
+// frame with others.
 type Reply func(m *peerpb.Message, wait time.Duration)
 
 // Handler serves the messages of peers. Handle is called in the order of
@@ -21,8 +22,8 @@
 	Handle(from *peerpb.Hello, m *peerpb.Message, reply Reply)
 	// LinkAccepted is called when a peer opens a link.
 	LinkAccepted(from *peerpb.Hello)
-	// LinkClosed is called when a peer that had opened a link is gone: it has no
-	// connection for a while, or is another process by now.
+	// LinkClosed is called when a link that a peer opened has ended: the peer did not
+	// reconnect in time, counted the link as down, or was replaced by another process.
 	LinkClosed(from *peerpb.Hello)
 }
 
@@ -91,7 +92,7 @@
 	served := &servedSession{server: s}
 	defer func() {
 		if from := served.end(); from != nil {
-			s.callers.ended(from, served)
+			s.callers.onSessionEnd(from, served)
 		}
 	}()
 	for {
@@ -113,11 +114,11 @@
 	hello  *peerpb.Hello
 	ended  bool
 
-	// handling is held while a message is handled, so that none is handled
-	// after the handler was told that the peer has left.
-	handling sync.RWMutex
-	used     atomic.Bool // a message other than the hello has come
-	over     atomic.Bool // the peer uses a newer session
+	// handling is read-locked while a message is handled, so that none is handled
+	// after LinkClosed.
+	handling   sync.RWMutex
+	used       atomic.Bool // a message other than the hello has arrived
+	superseded atomic.Bool // the peer uses a newer session
 }
 
 // end marks the session as ended and returns its hello, or nil.
@@ -131,8 +132,8 @@
 func (s *servedSession) handle(p *pipe, m *peerpb.Message) {
 	s.handling.RLock()
 	defer s.handling.RUnlock()
-	if s.ended || s.over.Load() {
-		return // the peer takes what it sent for lost
+	if s.ended || s.superseded.Load() {
+		return // the peer counts messages on this session as lost
 	}
 	reply := func(answer *peerpb.Message, wait time.Duration) {
 		answer.Call = m.Call
@@ -141,7 +142,7 @@
 	}
 	if hello := m.GetHello(); hello != nil {
 		s.setHello(hello)
-		s.server.callers.greeted(hello)
+		s.server.callers.onHello(hello)
 		s.server.handler.LinkAccepted(hello)
 		reply(&peerpb.Message{Body: &peerpb.Message_Hello{Hello: s.server.observer.Hello()}}, 0)
 		return
@@ -152,7 +153,7 @@
 		return
 	}
 	if !s.used.Swap(true) {
-		s.server.callers.used(from, s)
+		s.server.callers.activate(from, s)
 	}
 	s.server.handler.Handle(from, m, reply)
 }
--- a/pkg/peer/session.go
+++ b/pkg/peer/session.go
@@ -11,25 +11,25 @@
 	"github.com/hashicorp/yamux"
 )
 
-// session is one connection's life.
+// session is one connection of a link, from its hello to its end.
 type session struct {
-	conn      net.Conn
-	mux       *yamux.Session
-	control   *pipe         // short messages
-	jobs      *pipe         // jobs, answers and configuration bodies
-	peer      *peerpb.Hello // of the process at the other end; set before the session is used
-	lastHeard atomic.Int64
+	conn         net.Conn
+	mux          *yamux.Session
+	control      *pipe         // short messages
+	jobs         *pipe         // jobs, answers and configuration bodies
+	peer         *peerpb.Hello // of the process at the other end; set before the session is used
+	lastReceived atomic.Int64
 
 	mu    sync.Mutex
-	calls map[uint64]chan *peerpb.Message // by number; closed when there will be no reply; nil once the session is dead
+	calls map[uint64]chan *peerpb.Message // by number; closed when there will be no reply; nil once the session has ended
 }
 
 func newSession(conn net.Conn) *session {
 	return &session{conn: conn, calls: map[uint64]chan *peerpb.Message{}}
 }
 
-// call sends a message that may wait for company, and returns where its reply
-// will come, or nil when the session is dead.
+// call sends a message, which may be delayed by up to wait to share a frame with others. It
+// returns the channel of its reply, or nil when the session has ended.
 func (s *session) call(number uint64, m *peerpb.Message, wait time.Duration) chan *peerpb.Message {
 	m.Call = number
 	reply := make(chan *peerpb.Message, 1)
@@ -56,8 +56,8 @@
 	delete(s.calls, number)
 }
 
-// deliver hands a reply to the call it belongs to. A late, doubled or crossed
-// reply finds no call and is dropped.
+// deliver passes a reply to the call it belongs to. A late or duplicate reply matches
+// no call and is dropped.
 func (s *session) deliver(m *peerpb.Message) {
 	s.mu.Lock()
 	reply, known := s.calls[m.Call]
@@ -68,7 +68,7 @@
 	}
 }
 
-// takeCalls marks the session as dead and returns the calls that wait.
+// takeCalls marks the session as ended and returns the calls without a reply.
 func (s *session) takeCalls() map[uint64]chan *peerpb.Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,13 +77,13 @@
 	return calls
 }
 
-// endStreams ends the connection. Calls wait until it is known whether the peer
-// can be reached by another one.
+// endStreams ends the connection. Calls without a reply stay open until it is known
+// whether the peer can be reached on another connection.
 func (s *session) endStreams() {
-	// What is under way counts as lost here, so it mustn't arrive later: a
-	// reset drops it, an ordinary close would deliver it after a cut. The
-	// connection goes first: a session that is closed over an open one held up
-	// the whole process for 150 to 700 ms (docs/incidents/inc-acca.md).
+	// Data in transit counts as lost, so it must not arrive later: a reset drops
+	// it, whereas an ordinary close delivers it once a network cut ends. The
+	// connection is closed before the yamux session: closing the session over an
+	// open connection can block the whole process.
 	if tcp, ok := s.conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
@@ -93,7 +93,7 @@
 	s.jobs.close()
 }
 
-// close ends the connection and the calls that wait.
+// close ends the connection and fails the calls without a reply.
 func (s *session) close() {
 	s.endStreams()
 	for _, reply := range s.takeCalls() {
@@ -105,26 +105,27 @@
 	switch m.Body.(type) {
 	case *peerpb.Message_Submit, *peerpb.Message_FetchConfig, *peerpb.Message_FetchSnapshot,
 		*peerpb.Message_Keep, *peerpb.Message_KeptQuery,
-		*peerpb.Message_Dispatch, *peerpb.Message_Withdraw, *peerpb.Message_Renew, *peerpb.Message_Noted, // these four stay in order
-		*peerpb.Message_Join: // and these among themselves
+		*peerpb.Message_Dispatch, *peerpb.Message_Withdraw, *peerpb.Message_Renew, *peerpb.Message_Noted, // these four must stay in order
+		*peerpb.Message_Join: // joins must stay in order among themselves
 		return s.jobs
 	}
 	return s.control
 }
 
-// heardConn notes when anything came from the peer. On a full link the reply to a
-// heartbeat waits behind jobs and their answers, which show that it lives too.
-type heardConn struct {
+// receiveTrackingConn records when data last arrived from the peer. On a busy link the
+// reply to a heartbeat queues behind jobs and answers, which also show that the peer
+// is alive.
+type receiveTrackingConn struct {
 	net.Conn
-	clock common.Clock
-	heard *atomic.Int64
+	clock        common.Clock
+	lastReceived *atomic.Int64
 }
 
 // Read implements net.Conn.
-func (c *heardConn) Read(p []byte) (int, error) {
+func (c *receiveTrackingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.heard.Store(int64(c.clock.Now()))
+		c.lastReceived.Store(int64(c.clock.Now()))
 	}
 	return n, err
 }
--- a/pkg/peer/set.go
+++ b/pkg/peer/set.go
@@ -7,7 +7,7 @@
 	"github.com/foxcroft/foxcroft/pkg/settings"
 )
 
-// Set keeps the links to the wanted peers.
+// Set holds the links to the wanted peers, by address.
 type Set struct {
 	*common.Common
 	settings settings.Link
