--- a/pkg/entry/backup.go
+++ b/pkg/entry/backup.go
@@ -9,8 +9,7 @@
 	"github.com/foxcroft/foxcroft/pkg/peerpb"
 )
 
-// recordAtBackup asks the backup to remember the id, and reports whether it
-// acknowledged.
+// recordAtBackup has the backup record the id, and reports whether it acknowledged.
 func (h *Host) recordAtBackup(j *job) bool {
 	backup, ok := h.members.view().ByIncarnation(j.id.Home.Backup)
 	if !ok {
@@ -40,7 +39,7 @@
 	return errkind.New(errkind.HomeClosed, "submit again under the home that comes with this answer", "the backup did not record the id")
 }
 
-// copyAnswer sends an answer to the backup if the service's policy says so.
+// copyAnswer sends an answer to the backup if the service's policy asks for it.
 func (h *Host) copyAnswer(j *job) {
 	if !j.id.Home.HasBackup() || h.settings.SkipRecord || j.answer.Outcome == once.Refused {
 		return
--- a/pkg/entry/conf.go
+++ b/pkg/entry/conf.go
@@ -12,29 +12,29 @@
 	"github.com/foxcroft/foxcroft/pkg/errkind"
 )
 
-// inForce is a configuration in force. It is swapped as a whole, so request
+// activeConfig is a configuration in force. It is replaced atomically, so request
 // paths read one consistent document without a lock.
-type inForce struct {
+type activeConfig struct {
 	version uint64
 	digest  string
 	body    []byte
 	doc     *config.Document
 }
 
-// conf holds the configuration in force at this host. Versions only rise.
+// conf holds the configuration in force at this host. Its version only increases.
 type conf struct {
 	*common.Common
-	current atomic.Pointer[inForce]
-	mu      sync.Mutex // orders the swaps
-	changed func(*inForce)
+	current atomic.Pointer[activeConfig]
+	mu      sync.Mutex // serializes replacements
+	changed func(*activeConfig)
 }
 
-func newConf(c *common.Common, changed func(*inForce)) *conf {
+func newConf(c *common.Common, changed func(*activeConfig)) *conf {
 	return &conf{Common: c, changed: changed}
 }
 
 // get returns the configuration in force, or nil before there is one.
-func (c *conf) get() *inForce { return c.current.Load() }
+func (c *conf) get() *activeConfig { return c.current.Load() }
 
 // version returns the version in force, or 0.
 func (c *conf) version() uint64 {
@@ -44,8 +44,8 @@
 	return 0
 }
 
-// offer takes a version into force if it is higher than the present one.
-func (c *conf) offer(version uint64, digest string, body []byte) error {
+// activateIfNewer puts a version into force if it is higher than the current one.
+func (c *conf) activateIfNewer(version uint64, digest string, body []byte) error {
 	if version <= c.version() {
 		return nil
 	}
@@ -61,7 +61,7 @@
 	if version <= c.version() {
 		return nil
 	}
-	next := &inForce{version: version, digest: digest, body: body, doc: doc}
+	next := &activeConfig{version: version, digest: digest, body: body, doc: doc}
 	c.current.Store(next)
 	c.Log.Info("config_in_force", "version", version, "digest", digest)
 	c.changed(next)
@@ -81,12 +81,12 @@
 	if err != nil {
 		return err
 	}
-	return c.offer(head.Version, head.Digest, body)
+	return c.activateIfNewer(head.Version, head.Digest, body)
 }
 
-// every calls do each interval, spread by jitter, until ctx ends. After
-// failures it waits longer, up to maxSlowdown times, so that an outage of the
-// platform meets few calls and its end no stampede.
+// every calls do at each interval, with jitter, until ctx ends. While do fails, the
+// interval doubles up to maxSlowdown times, which limits the calls during an outage of
+// the platform and right after it.
 func every(ctx context.Context, interval time.Duration, do func() error) {
 	const maxSlowdown = 8
 	slowdown := 1
--- a/pkg/entry/convert.go
+++ b/pkg/entry/convert.go
@@ -10,8 +10,8 @@
 	"github.com/foxcroft/foxcroft/pkg/route"
 )
 
-// The functions of this file turn the kernel's types into messages between
-// entry hosts and back.
+// The functions of this file convert between this package's types and the messages
+// between entry hosts.
 
 func toHome(home once.Home) *peerpb.Home {
 	return &peerpb.Home{Domain: home.Domain, Primary: home.Primary[:], Backup: home.Backup[:], Epoch: home.Epoch}
@@ -58,7 +58,7 @@
 	return job
 }
 
-// fromJob makes the request of a job that another host passed on.
+// fromJob makes the request of a job that another host forwarded.
 func fromJob(m *peerpb.Job, digest uint64, now time.Duration) *request {
 	if m == nil {
 		return nil
@@ -88,7 +88,7 @@
 	return grants
 }
 
-// lendingMessage returns the message of a message of lending.
+// lendingMessage encodes a message about the lending of slots.
 func lendingMessage(pool string, message route.Message) *peerpb.Message {
 	switch message.Kind {
 	case route.KindBorrow:
--- a/pkg/entry/dispatcher.go
+++ b/pkg/entry/dispatcher.go
@@ -15,11 +15,11 @@
 	"github.com/pkg/errors"
 )
 
-// finishFunc takes the answer of a job that a dispatcher has ended.
+// finishFunc receives the answer of a job that a dispatcher has ended.
 type finishFunc func(j *job, answer *once.Answer)
 
-// dispatcher carries out what the scheduler of one pool decides: it does the
-// attempts and sends the messages of lending. Nothing blocks while mu is held.
+// dispatcher carries out the decisions of the scheduler of one pool: it makes the
+// attempts and sends the messages about lent slots. Nothing blocks while mu is held.
 type dispatcher struct {
 	*common.Common
 	pool    string
@@ -30,13 +30,13 @@
 
 	mu        sync.Mutex
 	scheduler *schedule.Scheduler[*job]
-	batch     time.Duration // how long messages of lending that do not hurry may wait
+	batch     time.Duration // how long a lending message that is not urgent may wait
 	wakeAt    time.Duration // when the timer fires, if later than now
 	timer     *time.Timer
 }
 
-// idleReturnWait is how long slots that nobody is known to wait for are kept
-// back, so that several go back in one message.
+// idleReturnWait is how long borrowed slots for which no demand is known are retained,
+// so that several are returned in one message.
 const idleReturnWait = 5 * time.Millisecond
 
 type start = schedule.Start[*job]
@@ -55,7 +55,7 @@
 	return d
 }
 
-// update changes the scheduler's state and carries out what follows.
+// update changes the scheduler's state and carries out the resulting decisions.
 func (d *dispatcher) update(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,7 +63,7 @@
 	d.launch(d.pump())
 }
 
-// admit decides whether a job is taken in.
+// admit decides whether a job is admitted.
 func (d *dispatcher) admit(j *job) *errkind.Error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,8 +76,8 @@
 	return d.scheduler.Admit(request, common.Unit())
 }
 
-// enqueue takes in a job that may start, unless it has ended by now: stop has
-// looked for it in the queue already.
+// enqueue queues a job that may start. It drops a job that has ended, since stop has
+// already looked for it in the queue.
 func (d *dispatcher) enqueue(j *job) {
 	d.update(func() {
 		if !j.hasEnded() {
@@ -96,8 +96,8 @@
 	d.finish(j, answer)
 }
 
-// pump lets the scheduler decide, sends the messages of lending and returns
-// the tasks to start. The caller holds mu.
+// pump runs the scheduler, sends the lending messages and returns the tasks to start.
+// The caller holds mu.
 func (d *dispatcher) pump() []start {
 	now := d.Clock.Now()
 	starts, messages := d.scheduler.Pump(now, common.Unit)
@@ -129,7 +129,7 @@
 	}
 }
 
-// run does attempts, one after another, until there is no task to go on with.
+// run makes attempts, one after another, until there is no next task.
 func (d *dispatcher) run(s start) {
 	for {
 		next, ok := d.attempt(s)
@@ -140,7 +140,7 @@
 	}
 }
 
-// attempt does one attempt and returns the next task for the same goroutine.
+// attempt makes one attempt and returns the next task for the same goroutine.
 func (d *dispatcher) attempt(s start) (start, bool) {
 	j := s.Item.Job
 	index := j.takeIndex()
@@ -155,12 +155,12 @@
 		},
 	})
 	d.metrics.AttemptEnded(j.labels, resultName(result.Err), s.Began-j.received)
-	again := d.settle(j, index, result, wasWritten)
+	again := d.recordResult(j, index, result, wasWritten)
 	return d.complete(s, outcomeOf(result), again)
 }
 
-// settle takes a result into its job and reports whether the task waits again.
-func (d *dispatcher) settle(j *job, index int, result target.Result, wasWritten bool) bool {
+// recordResult applies a result to its job and reports whether the task waits again.
+func (d *dispatcher) recordResult(j *job, index int, result target.Result, wasWritten bool) bool {
 	if result.Err == nil {
 		if j.succeed(index, result.Output) {
 			d.finish(j, j.completeAnswer())
@@ -207,7 +207,7 @@
 	return route.Unreachable
 }
 
-// setLeaving takes the platform's word on targets, by address.
+// setLeaving applies the platform's list of leaving targets, by address.
 func (d *dispatcher) setLeaving(leaving map[string]bool) {
 	d.update(func() {
 		for address, isLeaving := range leaving {
--- a/pkg/entry/forward.go
+++ b/pkg/entry/forward.go
@@ -10,33 +10,33 @@
 	"github.com/foxcroft/foxcroft/pkg/peerpb"
 )
 
-// maxHops bounds how often a job is passed on: to its domain, then to its
-// primary, or to its backup, then to its primary.
+// maxHops bounds how often a job is forwarded: to its domain, then to its primary, or
+// to its backup, then to its primary.
 const maxHops = 3
 
 // answerSlack is how long after the deadline a forwarding host still waits
 // for the primary's answer.
 const answerSlack = time.Second
 
-// unreachableReturn is when a caller may ask again after hosts could not be
-// reached: links come back within it, or are given up.
+// unreachableReturn is the time after which a caller may retry when hosts could not be
+// reached. By then links are up again or counted as down.
 const unreachableReturn = 100 * time.Millisecond
 
-// settleTime is how long after its start a host waits for its links to come up
-// before it says that another host cannot be reached.
-const settleTime = 2 * time.Second
+// linkSetupTime is how long after its start a host waits for its links to come up
+// before it answers that another host is unreachable.
+const linkSetupTime = 2 * time.Second
 
-const settlePoll = 10 * time.Millisecond
+const linkSetupPoll = 10 * time.Millisecond
 
-// longestDeadline bounds the wait for jobs under their service's default
-// deadline, which this host need not know.
+// longestDeadline bounds the wait for jobs with their service's default deadline, which
+// this host may not know.
 const longestDeadline = 4 * time.Minute
 
-// serveFunc answers for an id. It returns nil when no answer came.
+// serveFunc returns the answer for an id, or nil when there was none in time.
 type serveFunc func(ctx context.Context, id once.ID) *once.Answer
 
-// resolve serves a submission with an id: here, at its primary, or by asking
-// its backup. r is nil when only the answer is wanted.
+// resolve serves a submission with an id: on this host, at its primary, or by asking
+// its backup. r is nil when only the answer is requested.
 func (h *Host) resolve(ctx context.Context, id once.ID, r *request, hops uint32) *once.Answer {
 	if id.Home.Primary == h.inc {
 		return h.resolveHere(ctx, id, r)
@@ -46,10 +46,10 @@
 	}
 	ctx, cancel := h.boundWait(ctx, r)
 	defer cancel()
-	h.settle(ctx, id)
+	h.awaitLinks(ctx, id)
 	next, ok := h.nextHop(id)
 	if ok {
-		answer := h.passOn(ctx, next, id, r, hops)
+		answer := h.forward(ctx, next, id, r, hops)
 		if answer != nil || ctx.Err() != nil {
 			return answer
 		}
@@ -57,15 +57,15 @@
 	return h.askBackup(ctx, id, r, hops)
 }
 
-// settle gives a host that has just started time to find the hosts of an id.
-func (h *Host) settle(ctx context.Context, id once.ID) {
-	for h.Clock.Now() < settleTime && ctx.Err() == nil {
+// awaitLinks gives a host that has just started time to connect to the hosts of an id.
+func (h *Host) awaitLinks(ctx context.Context, id once.ID) {
+	for h.Clock.Now() < linkSetupTime && ctx.Err() == nil {
 		_, primaryUp := h.nextHop(id)
 		_, backupUp := h.members.view().ByIncarnation(id.Home.Backup)
 		if primaryUp || backupUp || id.Home.Backup == h.inc {
 			return
 		}
-		time.Sleep(settlePoll)
+		time.Sleep(linkSetupPoll)
 	}
 }
 
@@ -80,7 +80,7 @@
 	return context.WithTimeout(ctx, r.received+left-h.Clock.Now()+answerSlack)
 }
 
-// batchWindow returns how long messages for a service may wait for company.
+// batchWindow returns how long messages for a service may wait to be batched.
 func (h *Host) batchWindow(service string) time.Duration {
 	current := h.conf.get()
 	if current == nil || current.doc.Services[service] == nil {
@@ -103,7 +103,7 @@
 	return unknownJob()
 }
 
-// nextHop returns the id's primary, or a host of its domain that knows it.
+// nextHop returns the id's primary, or else a host of the primary's domain.
 func (h *Host) nextHop(id once.ID) (member.Peer, bool) {
 	view := h.members.view()
 	if primary, ok := view.ByIncarnation(id.Home.Primary); ok {
@@ -115,8 +115,8 @@
 	return view.RelayPeer(id.Home.Domain, id.Part)
 }
 
-// passOn forwards a submission. It returns nil when no answer came.
-func (h *Host) passOn(ctx context.Context, next member.Peer, id once.ID, r *request, hops uint32) *once.Answer {
+// forward forwards a submission. It returns nil when no answer came.
+func (h *Host) forward(ctx context.Context, next member.Peer, id once.ID, r *request, hops uint32) *once.Answer {
 	m := &peerpb.Submit{Id: id.String(), Hops: hops + 1}
 	var wait time.Duration
 	if r != nil {
@@ -138,8 +138,8 @@
 	return fromAnswer(reply.GetAnswer())
 }
 
-// askBackup asks the backup of an id whose primary does not answer. Nothing
-// is ever said to be not run without its word.
+// askBackup asks the backup of an id whose primary does not answer. Only the backup
+// can confirm that the job did not run.
 func (h *Host) askBackup(ctx context.Context, id once.ID, r *request, hops uint32) *once.Answer {
 	if id.Home.Backup == h.inc {
 		return h.answerAsBackup(ctx, id, r, hops)
@@ -159,12 +159,12 @@
 	return answer
 }
 
-// answerAsBackup answers for an id of which this host is the backup. If the
-// primary can be reached from here after all, the job is passed on to it; if
-// not, the home is fenced before anything is said.
+// answerAsBackup answers for an id of which this host is the backup. If this host can
+// reach the primary, it forwards the job there; otherwise it fences the home before it
+// answers.
 func (h *Host) answerAsBackup(ctx context.Context, id once.ID, r *request, hops uint32) *once.Answer {
 	if primary, ok := h.members.view().ByIncarnation(id.Home.Primary); ok && hops < maxHops {
-		if answer := h.passOn(ctx, primary, id, r, hops); answer != nil {
+		if answer := h.forward(ctx, primary, id, r, hops); answer != nil {
 			return answer
 		}
 	}
@@ -185,7 +185,7 @@
 	return once.NewAnswer(once.Unknown, err)
 }
 
-// orUnreachable turns the lack of an answer, nil, into one that says so.
+// orUnreachable replaces a nil answer by one that says that hosts were unreachable.
 func orUnreachable(answer *once.Answer) *once.Answer {
 	if answer == nil {
 		return unreachable("no answer came within the deadline")
@@ -193,7 +193,7 @@
 	return answer
 }
 
-// cancelAt passes a cancellation on to the job's primary.
+// cancelAt forwards a cancellation to the job's primary.
 func (h *Host) cancelAt(ctx context.Context, id once.ID) *once.Answer {
 	if id.Home.Primary == h.inc {
 		return h.cancel(id)
--- a/pkg/entry/front.go
+++ b/pkg/entry/front.go
@@ -21,7 +21,7 @@
 
 const maxLabelBytes = 128 // of service, team and class
 
-// newFront makes the caller interface; docs/API.md documents it.
+// newFront makes the HTTP handler of the callers' API.
 func (h *Host) newFront() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+jobapi.PathJobs, h.handleSubmit)
@@ -48,7 +48,7 @@
 	return len(text), nil
 }
 
-// quietLog drops what net/http says about connections that broke off.
+// quietLog drops net/http's messages about broken connections.
 func quietLog() *stdlog.Logger { return stdlog.New(io.Discard, "", 0) }
 
 func (h *Host) handleSubmit(w http.ResponseWriter, r *http.Request) {
@@ -67,8 +67,8 @@
 	h.writeAnswer(w, id, answer)
 }
 
-// readJob reads a submission's body. What it refuses is faulty wherever it
-// is submitted, so the refusal is final.
+// readJob reads a submission's body. A body that it refuses is invalid at every host,
+// so the refusal is final.
 func (h *Host) readJob(w http.ResponseWriter, r *http.Request) (*jobapi.Job, *errkind.Error) {
 	body := http.MaxBytesReader(w, r.Body, int64(h.settings.MaxBodyBytes))
 	raw := bytes.Buffer{}
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// handleID makes a handler that answers for the id in a path.
+// handleID makes a handler that serves the id in the path.
 func (h *Host) handleID(serve serveFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id, err := once.ParseID(r.PathValue("id"))
@@ -125,7 +125,7 @@
 	}
 }
 
-// fetch returns the answer of a job, which it waits for.
+// fetch waits for the answer of a job and returns it.
 func (h *Host) fetch(ctx context.Context, id once.ID) *once.Answer { return h.resolve(ctx, id, nil, 0) }
 
 func (h *Host) handleHome(w http.ResponseWriter, _ *http.Request) {
@@ -157,8 +157,8 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-// writeAnswer sends an answer with a home for the next submissions. A nil
-// answer means that the caller went away or its wait ran out.
+// writeAnswer sends an answer with a home for the next submissions. A nil answer means
+// that the caller disconnected or its wait timed out.
 func (h *Host) writeAnswer(w http.ResponseWriter, id string, answer *once.Answer) {
 	answer = orUnreachable(answer)
 	reply := jobapi.NewAnswer(id, answer)
--- a/pkg/entry/host.go
+++ b/pkg/entry/host.go
@@ -1,7 +1,7 @@
-// Package entry is an entry host: it takes callers' jobs, agrees with its
-// backup that they start once, and has targets run their tasks. The decisions
-// are in pkg/once, pkg/schedule (with pkg/admit, pkg/route and pkg/retry) and
-// pkg/member; this package carries them out.
+// Package entry implements an entry host: it accepts callers' jobs, records them at a
+// backup so that each starts at most once, and runs their tasks on targets. The
+// decisions are made in pkg/once, pkg/schedule (with pkg/admit, pkg/route and
+// pkg/retry) and pkg/member; this package carries them out.
 package entry
 
 import (
@@ -23,12 +23,12 @@
 	"github.com/pkg/errors"
 )
 
-// targetConnections is the number of connections that a host keeps to a
-// target at most. An executor takes 64, and nine hosts may use it.
+// targetConnections bounds the connections of a host to one target. An executor accepts
+// 64, and nine hosts may use it.
 const targetConnections = 7
 
-// otherReaders is how much less often than the domain's reader the other
-// hosts ask the platform for a newer configuration.
+// otherReaders is the factor by which the other hosts poll the platform for a newer
+// configuration less often than the domain's reader.
 const otherReaders = 3
 
 // Host is an entry host.
@@ -46,11 +46,11 @@
 	conf     *conf
 	keys     *keys
 
-	leaving  atomic.Bool // the health check says so
-	closing  atomic.Bool // no new submissions
-	fetching atomic.Bool // a configuration, from a peer
+	leaving  atomic.Bool // reported by the health check
+	closing  atomic.Bool // new submissions are refused
+	fetching atomic.Bool // a configuration is being fetched from a peer
 
-	poolsMu sync.Mutex // orders changes of pools
+	poolsMu sync.Mutex // serializes changes of pools
 	pools   atomic.Pointer[map[string]*dispatcher]
 
 	callers    *http.Server
@@ -74,7 +74,7 @@
 		keys:     newKeys(c, p, s.KeyRetention),
 	}
 	h.pools.Store(&map[string]*dispatcher{})
-	h.conf = newConf(c, func(*inForce) { h.reconfigure() })
+	h.conf = newConf(c, func(*activeConfig) { h.reconfigure() })
 	h.members = newMembers(c, s, inc, h.counters, h)
 	instruments, err := metrics.New(h.counters, h.gauges)
 	if err != nil {
@@ -109,9 +109,9 @@
 	return nil
 }
 
-// pollConfig returns the poll of the platform for a newer configuration. The
-// domain's reader asks each time, the others less often, in case the reader
-// is cut off.
+// pollConfig returns the function that polls the platform for a newer configuration.
+// The domain's reader polls each time, the other hosts less often, in case the reader
+// is unreachable.
 func (h *Host) pollConfig() func() error {
 	turn := 0
 	return func() error {
--- a/pkg/entry/ids.go
+++ b/pkg/entry/ids.go
@@ -10,7 +10,7 @@
 	"github.com/foxcroft/foxcroft/pkg/once"
 )
 
-const partBytes = 12 // of the parts that the host draws for callers without an id
+const partBytes = 12 // of the random parts of ids minted for callers without one
 
 // resolveID finds the id of a submission, minting one when it has none.
 func (h *Host) resolveID(ctx context.Context, text string, r *request) (once.ID, error) {
@@ -22,7 +22,7 @@
 		return fresh, err
 	}
 	if err != nil {
-		return once.ID{}, unbound(err) // it may have been bound before
+		return once.ID{}, unbound(err) // an earlier submission may have bound it
 	}
 	return h.keys.bind(ctx, r.labels, text, fresh)
 }
--- a/pkg/entry/job.go
+++ b/pkg/entry/job.go
@@ -17,7 +17,7 @@
 	"github.com/foxcroft/foxcroft/pkg/retry"
 )
 
-// request is a submission as it arrived. Only the primary of its id checks it
+// request is a submission before its check. Only the primary of its id checks it
 // against the configuration, since only the primary's refusal is final.
 type request struct {
 	labels   metrics.Labels
@@ -41,7 +41,7 @@
 	deadline time.Duration // by this host's clock
 }
 
-// digestOf tells bodies apart, so that an id used for two jobs is noticed.
+// digestOf returns a digest of a job, by which the use of one id for two jobs is detected.
 func digestOf(labels metrics.Labels, tasks [][]byte) uint64 {
 	digest := xxhash.New()
 	var length [8]byte
@@ -73,10 +73,10 @@
 	mu        sync.Mutex
 	results   [][]byte
 	remaining int   // tasks without a result
-	next      int   // index of the next task that was never taken
-	again     []int // indexes of tasks that were taken and did not start
-	written   int   // attempts that may have started
-	ended     bool  // nothing more may be written
+	next      int   // index of the first task that has never been started
+	retries   []int // indexes of tasks to try again, whose attempts did not start
+	written   int   // number of attempts that may have started
+	ended     bool  // no further attempt may be sent
 }
 
 func newJob(s *spec, id once.ID, now time.Duration) *job {
@@ -95,8 +95,8 @@
 	return j
 }
 
-// whyEnded returns why a job ends whose attempt ended with err. One that broke off
-// as the deadline passed was broken off by the deadline, not by its target.
+// whyEnded returns the error of a job whose attempt ended with err. An attempt that was
+// interrupted when the deadline passed failed because of the deadline, not the target.
 func (j *job) whyEnded(err *errkind.Error) *errkind.Error {
 	if err.Kind == errkind.TargetLost && errors.Is(j.ctx.Err(), context.DeadlineExceeded) {
 		return deadlinePassed()
@@ -114,13 +114,13 @@
 	}
 }
 
-// takeIndex returns the index of the task that runs next.
+// takeIndex removes the next task to run and returns its index.
 func (j *job) takeIndex() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if n := len(j.again); n > 0 {
-		index := j.again[n-1]
-		j.again = j.again[:n-1]
+	if n := len(j.retries); n > 0 {
+		index := j.retries[n-1]
+		j.retries = j.retries[:n-1]
 		return index
 	}
 	j.next++
@@ -131,7 +131,7 @@
 	return j.idText + "/" + strconv.Itoa(index)
 }
 
-// mayWrite is the last check before an attempt is written.
+// mayWrite is the last check before an attempt is sent to its target.
 func (j *job) mayWrite(now time.Duration) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -142,8 +142,8 @@
 	return true
 }
 
-// notStarted takes back an attempt that provably did not start, and reports
-// whether the task waits again. wasWritten says that mayWrite had counted it.
+// notStarted undoes an attempt that is known not to have started, and reports whether
+// the task waits again. wasWritten tells whether mayWrite has counted it.
 func (j *job) notStarted(index int, wasWritten bool) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -153,11 +153,11 @@
 	if j.ended {
 		return false
 	}
-	j.again = append(j.again, index)
+	j.retries = append(j.retries, index)
 	return true
 }
 
-// succeed keeps a task's result and reports whether the job is complete now.
+// succeed stores a task's result and reports whether the job is complete now.
 func (j *job) succeed(index int, output []byte) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -179,9 +179,9 @@
 	return j.ended
 }
 
-// stop ends a job that is not complete, so that nothing more is written, and
-// returns its answer: refused when provably no task started, else failed. It
-// returns nil when the job had ended before.
+// stop ends a job that is not complete, so that no further attempt is sent, and returns
+// its answer: refused when no task can have started, else failed. It returns nil when
+// the job had already ended.
 func (j *job) stop(err *errkind.Error) *once.Answer {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/pkg/entry/keys.go
+++ b/pkg/entry/keys.go
@@ -14,16 +14,16 @@
 const (
 	keyPrefix    = "key/"
 	maxKeyBytes  = 128
-	keyBatchWait = 10 * time.Millisecond // how long a key waits for company in a transaction
+	keyBatchWait = 10 * time.Millisecond // how long a key waits to be batched
 	keyBatchMax  = 256                   // keys in a transaction
 	keyTries     = 5
 	keyTimeout   = 3 * time.Second
 	keyTryPause  = 100 * time.Millisecond
 )
 
-// keys binds plain idempotency keys to ids at the platform's table. The first
-// binding of a key counts; a submission under the key then has the id's
-// guarantees. Keys that come together share a transaction.
+// keys binds plain idempotency keys to ids in the platform's table. The first binding
+// of a key is final; a submission under the key then has the id's guarantees. Keys that
+// arrive at about the same time share a transaction.
 type keys struct {
 	*common.Common
 	table  platform.Table
@@ -47,8 +47,8 @@
 	return &keys{Common: c, table: table, expiry: expiry, queue: make(chan *binding, keyBatchMax)}
 }
 
-// bind returns the id that a key stands for: fresh, or the one that it was
-// bound to before. After an error it cannot be told whether the key ran.
+// bind returns the id to which a key is bound: fresh, or that of an earlier binding.
+// After an error it is unknown whether a job ran under the key.
 func (k *keys) bind(ctx context.Context, labels metrics.Labels, key string, fresh once.ID) (once.ID, error) {
 	if len(key) > maxKeyBytes {
 		return once.ID{}, errkind.New(errkind.BadRequest, "shorten the key", "a key of %d bytes exceeds %d", len(key), maxKeyBytes)
@@ -71,7 +71,7 @@
 	}
 }
 
-// run binds what is queued, until ctx ends.
+// run binds the queued keys in batches until ctx ends.
 func (k *keys) run(ctx context.Context) {
 	for {
 		select {
@@ -83,8 +83,7 @@
 	}
 }
 
-// gather collects the bindings that come within keyBatchWait. A key that
-// comes twice waits for the next batch, as the transaction takes it once.
+// gather collects the bindings that arrive within keyBatchWait, up to keyBatchMax.
 func (k *keys) gather(first *binding) []*binding {
 	batch := []*binding{first}
 	timer := time.NewTimer(keyBatchWait)
@@ -110,7 +109,7 @@
 		}
 		unique := firstOfEachRow(batch)
 		if err = k.commit(ctx, unique); err == nil {
-			batch = settleBound(batch, unique)
+			batch = resolveBound(batch, unique)
 			continue
 		}
 		batch = k.readBack(ctx, batch)
@@ -140,9 +139,9 @@
 	return unique
 }
 
-// settleBound answers the bindings that a transaction made, and those of the
-// same rows that came with them.
-func settleBound(batch, unique []*binding) []*binding {
+// resolveBound resolves the bindings that a transaction made, and the other bindings of
+// the same rows in its batch.
+func resolveBound(batch, unique []*binding) []*binding {
 	bound := map[string]once.ID{}
 	for _, b := range unique {
 		bound[b.row] = b.id
@@ -153,8 +152,8 @@
 	return nil
 }
 
-// readBack answers the bindings whose rows are there, whoever wrote them, and
-// returns the others. It serves after a conflict and after a lost answer.
+// readBack resolves the bindings whose rows exist, whichever host wrote them, and
+// returns the others. It is called after a conflict and after a lost answer.
 func (k *keys) readBack(ctx context.Context, batch []*binding) []*binding {
 	var left []*binding
 	for _, b := range batch {
@@ -168,8 +167,8 @@
 	return left
 }
 
-// boundBy returns the id of a row that is there. One that can't be read was bound all
-// the same, and the job of its id may have run: its key isn't refused.
+// boundBy returns the id in an existing row. If the row can't be read, the key is bound
+// nevertheless and its job may have run, so the error is not a refusal.
 func boundBy(row platform.Row) bindResult {
 	id, err := once.ParseID(string(row.Value))
 	if err != nil {
--- a/pkg/entry/keys_test.go
+++ b/pkg/entry/keys_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// boundTable holds a key that was bound before, by a row that may be odd.
+// boundTable is a table in which the key is already bound, by a row that may be invalid.
 type boundTable struct {
 	platform.Table
 	row platform.Row
@@ -24,9 +24,9 @@
 
 func (b boundTable) Get(context.Context, string) (platform.Row, error) { return b.row, nil }
 
-// A key whose row can't be read was bound before, so that its job may have run: its
-// submission isn't refused.
-func TestAKeyOfARowThatCannotBeReadIsNotRefused(t *testing.T) {
+// Guards against refusing a key whose row can't be read: it is bound, so its job may
+// have run.
+func TestKeyOfUnreadableRowIsNotRefused(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		value    string
@@ -48,9 +48,9 @@
 	}
 }
 
-// A key may have been bound before, by another host or by this one: that no id can be
-// minted for it now doesn't say that its job never ran.
-func TestAKeyIsNotRefusedForWantOfAnID(t *testing.T) {
+// Guards against refusing a key because no id can be minted for it: it may already be
+// bound, and its job may have run.
+func TestKeyIsNotRefusedWithoutAnID(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		id       string
@@ -62,7 +62,7 @@
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
 			c := common.NewTestCommon()
-			h := &Host{Common: c, conf: newConf(c, func(*inForce) {}), keys: newKeys(c, nil, 0)} // it has no configuration yet
+			h := &Host{Common: c, conf: newConf(c, func(*activeConfig) {}), keys: newKeys(c, nil, 0)} // it has no configuration yet
 			_, answer := h.submit(context.Background(), s.id, &request{labels: metrics.Labels{Service: "s", Team: "t"}})
 			qt.Assert(t, answer.Outcome, qt.Equals, s.outcome)
 			qt.Assert(t, answer.RetryAfter > 0, qt.IsTrue)
--- a/pkg/entry/lending.go
+++ b/pkg/entry/lending.go
@@ -7,7 +7,7 @@
 	"github.com/foxcroft/foxcroft/pkg/route"
 )
 
-// lendingSender sends a message of lending and reports whether the link was up.
+// lendingSender sends a message about lent slots and reports whether the link was up.
 type lendingSender func(pool string, message route.Message, wait time.Duration) bool
 
 func (h *Host) onLending(from *peerpb.Hello, m *peerpb.Message) {
@@ -27,40 +27,41 @@
 	}
 }
 
-// sendLending sends a message of lending and reports whether the link was up.
+// sendLending sends a message about lent slots and reports whether the link was up.
 func (h *Host) sendLending(pool string, message route.Message, wait time.Duration) bool {
 	return h.members.send(message.Host, lendingMessage(pool, message), wait)
 }
 
-// onLoad takes a peer's word on its slots and tasks.
+// onLoad applies the load that a peer reported to all pools.
 func (h *Host) onLoad(host string, load route.PeerLoad) {
 	h.eachDispatcher(func(d *dispatcher) { d.onLoad(host, load) })
 }
 
-// onBorrow takes a peer's wish for slots. place is that of its first job, from now.
+// onBorrow handles a peer's request for slots. place is the place of its first job in
+// the order, relative to now.
 func (d *dispatcher) onBorrow(host string, want int, place time.Duration) {
 	d.update(func() {
 		d.scheduler.Lending().OnBorrow(route.Wish{Host: host, Want: want, Place: d.Clock.Now() + place})
 	})
 }
 
-// onLend takes slots that a peer lent; they go back at once when no task
-// waits any more.
+// onLend handles slots that a peer lent. They are returned at once when no task waits.
 func (d *dispatcher) onLend(host string, grants []route.Grant) {
 	d.update(func() { d.scheduler.Lending().OnLend(host, grants) })
 }
 
-// onReturn takes slots back from a peer.
+// onReturn handles slots that a peer returned.
 func (d *dispatcher) onReturn(host string, grants []route.Grant) {
 	d.update(func() { d.scheduler.Lending().OnReturn(host, grants) })
 }
 
-// onGone drops all dealings with a host that is gone or began anew.
-func (d *dispatcher) onGone(host string) {
+// onPeerReplaced forgets the slots lent to and borrowed from a host that is
+// unreachable or has restarted.
+func (d *dispatcher) onPeerReplaced(host string) {
 	d.update(func() { d.scheduler.Lending().Forget(host) })
 }
 
-// onLoad takes a peer's word on its slots and tasks.
+// onLoad applies the slots and tasks that a peer reported.
 func (d *dispatcher) onLoad(host string, load route.PeerLoad) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/pkg/entry/members.go
+++ b/pkg/entry/members.go
@@ -17,8 +17,8 @@
 // addresses of the domain's hosts.
 const gossipEvery = 16
 
-// members keeps the links to other entry hosts and the view of who is there.
-// It implements peer.Observer.
+// members keeps the links to other entry hosts and the view of the reachable ones. It
+// implements peer.Observer.
 type members struct {
 	*common.Common
 	self    member.Peer
@@ -46,7 +46,7 @@
 	return m
 }
 
-// view returns the present view.
+// view returns the current view.
 func (m *members) view() *member.View { return m.current.Load() }
 
 // update changes the table and publishes a new view.
@@ -137,13 +137,13 @@
 func (m *members) HeartbeatReply(address string, reply *peerpb.Message) {
 	for _, p := range m.view().Peers {
 		if p.Address == address {
-			m.heard(p, reply.GetHeartbeat())
+			m.recordHeartbeat(p, reply.GetHeartbeat())
 		}
 	}
 }
 
-// heard takes what a peer's heartbeat tells.
-func (m *members) heard(p member.Peer, beat *peerpb.Heartbeat) {
+// recordHeartbeat applies the contents of a peer's heartbeat.
+func (m *members) recordHeartbeat(p member.Peer, beat *peerpb.Heartbeat) {
 	if len(beat.Addresses) > 0 && p.Domain == m.self.Domain {
 		m.mu.Lock()
 		m.table.AddAddresses(beat.Addresses, m.Clock.Now())
@@ -154,15 +154,15 @@
 		m.update(func(t *member.Table) { t.UpdateIfUp(p) })
 	}
 	p.Version, p.Waiting, p.Free, p.Usable = beat.Version, int(beat.Waiting), int(beat.Free), m.usable(beat)
-	m.noteLoad(p)
+	m.recordLoad(p)
 	m.host.onLoad(p.Name, loadOf(p))
 	if beat.Version > m.host.conf.version() {
 		go m.host.fetchConfig(p)
 	}
 }
 
-// usable returns the slots that a peer may fill. One that does not have our
-// configuration yet will have some.
+// usable returns the number of slots that a peer may use, at least 1 for a peer that
+// does not have this host's configuration yet.
 func (m *members) usable(beat *peerpb.Heartbeat) int {
 	if beat.Version < m.host.conf.version() {
 		return max(1, int(beat.Usable))
@@ -170,16 +170,16 @@
 	return int(beat.Usable)
 }
 
-// noteLoad keeps a peer's load for status, without telling the dispatchers
-// that the membership changed.
-func (m *members) noteLoad(p member.Peer) {
+// recordLoad stores a peer's load for the status page, without notifying the
+// dispatchers of a change of membership.
+func (m *members) recordLoad(p member.Peer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.table.UpdateIfUp(p)
 	m.current.Store(m.table.View(m.view().Backup))
 }
 
-// setListed takes a new reading of the platform's list.
+// setListed applies a new reading of the platform's list.
 func (m *members) setListed(hosts []member.ListedHost) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/entry/memory.go
+++ b/pkg/entry/memory.go
@@ -7,7 +7,7 @@
 	"github.com/foxcroft/foxcroft/pkg/once"
 )
 
-// memory guards what this host remembers of submissions: as primary, as
+// memory guards this host's state of submissions: its records as primary and as
 // backup, and the jobs under way. Nothing blocks while its lock is held.
 type memory struct {
 	mu      sync.Mutex
@@ -24,8 +24,8 @@
 	}
 }
 
-// submit decides on a submission. For the verdicts Record and Run it keeps
-// what makeJob returns as the job under way; for Join it returns that job.
+// submit decides on a submission. For the verdicts Record and Run it stores the job
+// that makeJob returns as under way; for Join it returns the job under way.
 func (m *memory) submit(id once.ID, digest uint64, now time.Duration, makeJob func() *job) (once.Verdict, *once.Answer, *job) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -73,7 +73,7 @@
 	return m.primary.RecordLost(id)
 }
 
-// end keeps the answer of a job, which is under way no longer.
+// end stores the answer of a job and removes it from those under way.
 func (m *memory) end(id once.ID, answer *once.Answer) *once.Answer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,7 +81,7 @@
 	return m.primary.End(id, answer)
 }
 
-// find returns the kept answer, or the job under way, or neither.
+// find returns the stored answer, or the job under way, or neither.
 func (m *memory) find(id once.ID) (*once.Answer, *job) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -120,7 +120,7 @@
 	m.primary.CloseAll()
 }
 
-// handover returns all homes, and the answers for their backups to keep.
+// handover returns all homes, and the answers that their backups have to store.
 func (m *memory) handover() ([]once.Home, map[once.ID]*once.Answer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/entry/peers.go
+++ b/pkg/entry/peers.go
@@ -10,8 +10,8 @@
 	"github.com/foxcroft/foxcroft/pkg/peerpb"
 )
 
-// Handle implements peer.Handler. What is quick is done in place, so that
-// records keep their order; what waits goes to a goroutine.
+// Handle implements peer.Handler. Quick messages are handled in place, so that records
+// stay in order; those that wait are handled in a goroutine.
 func (h *Host) Handle(from *peerpb.Hello, m *peerpb.Message, reply peer.Reply) {
 	switch body := m.Body.(type) {
 	case *peerpb.Message_Record:
@@ -37,14 +37,14 @@
 	}
 }
 
-// LinkAccepted implements peer.Handler: a peer that begins anew holds none of our
-// slots.
+// LinkAccepted implements peer.Handler. A peer that has restarted holds none of this
+// host's slots.
 func (h *Host) LinkAccepted(from *peerpb.Hello) {
-	h.eachDispatcher(func(d *dispatcher) { d.onGone(from.Name) })
+	h.eachDispatcher(func(d *dispatcher) { d.onPeerReplaced(from.Name) })
 }
 
-// LinkClosed implements peer.Handler. Nothing is concluded from it: what a peer's
-// silence means is told by the link to it.
+// LinkClosed implements peer.Handler. It does nothing: whether a peer is reachable is
+// decided by this host's own link to it.
 func (h *Host) LinkClosed(*peerpb.Hello) {}
 
 func (h *Host) onRecord(m *peerpb.Record, reply peer.Reply) {
@@ -58,7 +58,7 @@
 	var inc once.Incarnation
 	copy(inc[:], from.Incarnation)
 	if p, ok := h.members.view().ByIncarnation(inc); ok {
-		h.members.heard(p, beat)
+		h.members.recordHeartbeat(p, beat)
 	}
 }
 
@@ -80,7 +80,7 @@
 	replyForID(m.Id, reply, func(_ context.Context, id once.ID) *once.Answer { return h.cancel(id) })
 }
 
-// replyForID replies to another host with what serve answers for an id.
+// replyForID replies to another host with the answer of serve for an id.
 func replyForID(idText string, reply peer.Reply, serve serveFunc) {
 	id, err := once.ParseID(idText)
 	if err != nil {
@@ -115,7 +115,7 @@
 		return
 	}
 	m := reply.GetConfig()
-	if err := h.conf.offer(m.GetVersion(), m.GetDigest(), m.GetBody()); err != nil {
+	if err := h.conf.activateIfNewer(m.GetVersion(), m.GetDigest(), m.GetBody()); err != nil {
 		h.Log.Error("config_refused", "version", m.GetVersion(), "error", err.Error())
 	}
 }
--- a/pkg/entry/pools.go
+++ b/pkg/entry/pools.go
@@ -7,8 +7,8 @@
 	"github.com/foxcroft/foxcroft/pkg/schedule"
 )
 
-// reconfigure has the dispatchers take the configuration and the membership
-// as they are now, and makes dispatchers for new pools.
+// reconfigure applies the current configuration and membership to the dispatchers, and
+// makes dispatchers for new pools.
 func (h *Host) reconfigure() {
 	h.poolsMu.Lock()
 	defer h.poolsMu.Unlock()
@@ -21,7 +21,7 @@
 	for name, d := range pools {
 		service := policyService(current.doc, name)
 		if service == nil {
-			continue // out of the configuration; its jobs run out
+			continue // no longer configured; its remaining jobs finish
 		}
 		if err := d.configure(current.doc, service, view); err != nil {
 			h.Log.Error("pool_not_configured", "pool", name, "error", err.Error())
@@ -44,8 +44,8 @@
 	return pools
 }
 
-// policyService returns the service whose policy rules a pool: the first by
-// name of those whose work can go there.
+// policyService returns the service whose policy applies to a pool: the first by name
+// of those that use the pool.
 func policyService(doc *config.Document, pool string) *config.Service {
 	var first *config.Service
 	consider := func(service *config.Service) {
--- a/pkg/entry/pools_test.go
+++ b/pkg/entry/pools_test.go
@@ -15,8 +15,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestNewPoolsAreConfiguredBeforeTheyAreSeen: while versions bring new pools,
-// other threads go through the dispatchers.
+// Guards against publishing the dispatcher of a new pool before it is configured, while
+// other goroutines iterate over the dispatchers.
 func TestNewPoolsAreConfiguredBeforeTheyAreSeen(t *testing.T) {
 	s, err := settings.Parse("s.ini", []byte("[entry]\nname = a\ndomain = d\ncaller_address = 127.0.0.1:1\npeer_address = 127.0.0.1:2\n[platform]\naddress = 127.0.0.1:3\n"))
 	qt.Assert(t, err, qt.IsNil)
@@ -39,7 +39,7 @@
 	for version := 1; version <= versions; version++ {
 		fmt.Fprintf(&text, "[service s%d]\npool = p%d\n[pool p%d]\n", version, version, version)
 		body := []byte(text.String())
-		qt.Check(t, h.conf.offer(uint64(version), confstore.Digest(body), body), qt.IsNil)
+		qt.Check(t, h.conf.activateIfNewer(uint64(version), confstore.Digest(body), body), qt.IsNil)
 	}
 	stop.Store(true)
 	wait.Wait()
--- a/pkg/entry/rules.go
+++ b/pkg/entry/rules.go
@@ -8,8 +8,8 @@
 	"github.com/foxcroft/foxcroft/pkg/schedule"
 )
 
-// configure takes a configuration and the hosts there are. service is the one
-// whose policy rules the pool.
+// configure applies a configuration and the current hosts. service is the one whose
+// policy applies to the pool.
 func (d *dispatcher) configure(doc *config.Document, service *config.Service, view *member.View) error {
 	policy, err := route.Policies.Get(service.Routing)
 	if err != nil {
@@ -37,7 +37,7 @@
 // applies an equal part of the quota, rounded up.
 func shareOf(team *config.Team, hosts int) admit.Share {
 	if team == nil {
-		return admit.Share{Weight: 1} // taken out of the configuration while it had jobs
+		return admit.Share{Weight: 1} // removed from the configuration while it had jobs
 	}
 	return admit.Share{Weight: team.Weight, Quota: (team.QuotaSlots + hosts - 1) / hosts}
 }
@@ -64,7 +64,7 @@
 	return lenders
 }
 
-// loadOf returns what a peer last told of its slots and tasks.
+// loadOf returns the slots and tasks that a peer last reported.
 func loadOf(peer member.Peer) route.PeerLoad {
 	return route.PeerLoad{Idle: peer.Free, Usable: peer.Usable, Waiting: peer.Waiting}
 }
--- a/pkg/entry/status.go
+++ b/pkg/entry/status.go
@@ -49,8 +49,8 @@
 	return status
 }
 
-// processCost returns the processor time and the memory that the process has
-// taken from the system and not given back.
+// processCost returns the processor time that the process has used, and the memory that
+// it has obtained from the system and not returned.
 func processCost() (cpuSeconds float64, memoryBytes uint64) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/pkg/entry/stop.go
+++ b/pkg/entry/stop.go
@@ -10,12 +10,12 @@
 
 const (
 	drainPoll  = 10 * time.Millisecond
-	flushPause = 100 * time.Millisecond // for messages that wait for company
+	flushPause = 100 * time.Millisecond // for messages that wait to be batched
 )
 
-// Stop is a planned stop. The health check turns first; jobs under way are
-// finished, within the grace of the settings; then the memory of ids goes to
-// the backup.
+// Stop is a planned stop. The health check reports the host as leaving first; then the
+// jobs under way finish, within the grace period of the settings; then the answers are
+// handed over to the backups.
 func (h *Host) Stop() {
 	h.Log.Info("stop_began", "jobs", h.memory.underWay())
 	h.leaving.Store(true)
--- a/pkg/entry/submit.go
+++ b/pkg/entry/submit.go
@@ -61,8 +61,8 @@
 }
 
 // submit serves a submission whose id text may be empty, a plain key or an id
-// with a home. It returns the id that counts and the answer, which is nil
-// when ctx ended first.
+// with a home. It returns the resolved id and the answer, which is nil when ctx ended
+// first.
 func (h *Host) submit(ctx context.Context, idText string, r *request) (string, *once.Answer) {
 	id, err := h.resolveID(ctx, idText, r)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return id.String(), h.resolve(ctx, id, r, 0)
 }
 
-// outcomeOfError tells refusals, in which nothing ran, from cases where it
-// cannot be told.
+// outcomeOfError returns the answer for an error: refused when nothing ran, unknown when
+// the job may have run.
 func outcomeOfError(err error) *once.Answer {
 	e := errkind.From(err)
 	switch e.Kind {
@@ -151,7 +151,7 @@
 	return errkind.New(errkind.DeadlinePassed, "allow a longer deadline, or submit when there is less load", "the deadline passed before the job was complete")
 }
 
-// finish keeps the answer of a job and lets its waiters have it.
+// finish stores the answer of a job and sends it to the waiting callers.
 func (h *Host) finish(j *job, answer *once.Answer) {
 	if answer == nil {
 		return
@@ -159,8 +159,8 @@
 	j.answer = h.memory.end(j.id, answer)
 	close(j.done)
 	if answer.Outcome != once.Failed {
-		// Attempts of a failed job keep their slots until they end: their targets
-		// are still busy with them.
+		// Attempts of a failed job occupy their slots until they end, since their
+		// targets are still running them.
 		j.cancel()
 	}
 	h.copyAnswer(j)
@@ -175,7 +175,7 @@
 	return string(a.Kind)
 }
 
-// cancel ends a job of this host as far as it has not started.
+// cancel ends a job of this host; its tasks that have not started don't run.
 func (h *Host) cancel(id once.ID) *once.Answer {
 	answer, j := h.memory.find(id)
 	if answer != nil {
--- a/pkg/entry/why_ended_test.go
+++ b/pkg/entry/why_ended_test.go
@@ -9,18 +9,18 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Both the deadline and the attempt that it breaks off end a job; callers hear of
-// the deadline whichever comes first.
+// The deadline and the attempt that it interrupts both end a job. Guards against
+// reporting a lost target to the caller when the deadline was the cause.
 func TestWhyAJobEnded(t *testing.T) {
 	type scenario struct {
 		testName string
-		passed   bool // the deadline
+		passed   bool // whether the deadline has passed
 		attempt  errkind.Kind
 		want     errkind.Kind
 	}
 	scenarios := []scenario{
 		{testName: "the target was lost", attempt: errkind.TargetLost, want: errkind.TargetLost},
-		{testName: "the deadline broke the attempt off", passed: true, attempt: errkind.TargetLost, want: errkind.DeadlinePassed},
+		{testName: "the deadline interrupted the attempt", passed: true, attempt: errkind.TargetLost, want: errkind.DeadlinePassed},
 		{testName: "the task failed at its target", passed: true, attempt: errkind.TaskFailed, want: errkind.TaskFailed},
 	}
 	for _, s := range scenarios {
