--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -1,6 +1,6 @@
-// Package client is the callers' library. It takes homes from answers,
-// submits a job again under the same id when an answer is lost, and moves to a
-// new id only after an answer that says that nothing ran.
+// Package client is the callers' library. It learns homes from answers, resubmits a
+// job under the same id when an answer is lost, and uses a new id only after an answer
+// that confirms that nothing ran.
 package client
 
 import (
@@ -29,20 +29,20 @@
 	idleConnections = 256
 	defaultDeadline = 10 * time.Second
 	homePause       = 100 * time.Millisecond
-	answerSlack     = time.Second            // that the answer may take after the deadline
-	freshHome       = 200 * time.Millisecond // a wait after which a home is asked for anew
+	answerGrace     = time.Second            // how long after the deadline the answer is awaited
+	freshHome       = 200 * time.Millisecond // after a longer wait, a new home is fetched
 	remedyMayRun    = "check at the service whether the job ran before you submit it under a new id"
 )
 
-// RenewSeparator parts the caller's own part of an id from the count of the
-// ids that the job had before.
+// RenewSeparator separates the caller's own part of an id from the number of the id
+// among those of the job, which is appended from the second id on.
 const RenewSeparator = ":"
 
 // Options configure a Client.
 type Options struct {
 	Entries []string      // addresses (IP:port) of the balancer, or of entry hosts
 	Direct  bool          // submit to the primary's own address, where callers can reach it
-	Attempt time.Duration // how long one try may take; 0 means up to the job's deadline
+	Attempt time.Duration // time limit of one attempt to submit; 0 means up to the job's deadline
 }
 
 // Client submits jobs. It is safe for concurrent use.
@@ -63,21 +63,21 @@
 type Job struct {
 	Service  string
 	Team     string
-	Class    string        // any word that tells kinds of work apart
+	Class    string        // names the kind of work
 	Deadline time.Duration // 0 means ten seconds
 	Tasks    []json.RawMessage
-	Part     string // the caller's own part of the id; drawn when empty
+	Part     string // the caller's own part of the id; random when empty
 }
 
 // Result is a complete job.
 type Result struct {
 	ID      string
-	Results [][]byte // one a task, in order
-	Tries   int      // submissions it took
+	Results [][]byte // one per task, in order
+	Tries   int      // number of submissions made
 }
 
-// MayHaveRun reports whether tasks of a job that ended in err may have run.
-// Only when it is false may the job be submitted anew without harm.
+// MayHaveRun reports whether tasks of a job that ended in err may have run. Only when
+// it is false is it safe to submit the job under a new id.
 func MayHaveRun(err error) bool {
 	if e := new(JobError); asJobError(err, &e) {
 		return e.Outcome != once.Refused
@@ -85,7 +85,7 @@
 	return err != nil
 }
 
-// JobError is how a job ended that is not complete. Its cause is an
+// JobError is the error of a job that did not complete. Its cause is an
 // *errkind.Error.
 type JobError struct {
 	ID      string
@@ -99,7 +99,7 @@
 // Unwrap returns the typed error.
 func (e *JobError) Unwrap() error { return e.Err }
 
-// submission is a job on its way to an answer.
+// submission is the state of a job from its submission to its answer.
 type submission struct {
 	job      Job
 	part     string
@@ -107,8 +107,8 @@
 	address  string // of the home's primary, if callers may reach it
 	deadline time.Time
 	tries    int
-	ids      int  // that the job had so far
-	unclear  bool // a try under this id had no answer, or one that leaves open whether it ran
+	ids      int  // number of ids that the job has had
+	unresolved  bool // an attempt under this id had no answer, or one of unknown outcome
 }
 
 // Submit submits a job and waits for its answer. The error is a *JobError.
@@ -118,11 +118,11 @@
 	}
 	s := &submission{job: job, part: job.Part, deadline: time.Now().Add(job.Deadline)}
 	if s.part == "" {
-		s.part = newPart()
+		s.part = newRandomPart()
 	}
-	// The host answers at the deadline; giving up just then would make a job
-	// that was not run look as if it may have run.
-	ctx, cancel := context.WithDeadline(ctx, s.deadline.Add(answerSlack))
+	// The host answers at the deadline. Giving up before that answer arrives would
+	// turn a refusal into an unknown outcome.
+	ctx, cancel := context.WithDeadline(ctx, s.deadline.Add(answerGrace))
 	defer cancel()
 	if err := c.takeHome(ctx, s); err != nil {
 		return nil, &JobError{Outcome: once.Refused, Err: errkind.From(err)}
@@ -141,7 +141,7 @@
 			continue
 		}
 		if wait > freshHome {
-			// The hosts of the homes known by now may both be replaced.
+			// Both hosts of the known home may have been replaced.
 			c.home.Store(nil)
 		}
 		if err := c.takeHome(ctx, s); err != nil {
@@ -181,10 +181,10 @@
 		}
 	}
 	s.ids++
-	s.unclear = false
+	s.unresolved = false
 	s.id = home.Home + "~" + s.part
 	if s.ids > 1 {
-		// The home may be the same as before, and an id that was refused stays so.
+		// The home may be the same as before, and a refused id stays refused.
 		s.id += RenewSeparator + strconv.Itoa(s.ids)
 	}
 	s.address = home.HomeAddress
@@ -198,7 +198,7 @@
 		return nil, err
 	}
 	if status != http.StatusOK {
-		return nil, errkind.New(errkind.NotReady, "wait until an entry host says ready", "no home is to be had: %.200s", body)
+		return nil, errkind.New(errkind.NotReady, "wait until an entry host says ready", "no home is available: %.200s", body)
 	}
 	if err := json.Unmarshal(body, &home); err != nil || home.Home == "" {
 		return nil, errkind.New(errkind.Internal, "check what answers at the entry address", "the reply is not a home: %.200s", body)
@@ -206,18 +206,18 @@
 	return &home, nil
 }
 
-// try sends a submission once. A refusal that names no id, as of a body that couldn't be
-// read, speaks for this try alone: an earlier one under the id may have run.
+// try sends a submission once. A refusal without an id, such as that of an unreadable
+// body, holds for this attempt only: an earlier attempt under the id may have run.
 func (c *Client) try(ctx context.Context, s *submission) (*jobapi.Answer, error) {
 	answer, err := c.post(ctx, s)
 	if err != nil {
-		s.unclear = true
+		s.unresolved = true
 		return nil, err
 	}
-	if answer.ID == "" && s.unclear {
+	if answer.ID == "" && s.unresolved {
 		answer.Outcome = once.Unknown.String()
 	}
-	s.unclear = s.unclear || once.ParseOutcome(answer.Outcome) == once.Unknown
+	s.unresolved = s.unresolved || once.ParseOutcome(answer.Outcome) == once.Unknown
 	return answer, nil
 }
 
@@ -248,10 +248,10 @@
 		return nil, errkind.Wrap(err, errkind.Internal, "check what answers at the entry address", "the reply is not an answer")
 	}
 	if once.ParseOutcome(answer.Outcome) == 0 {
-		return nil, errkind.New(errkind.Internal, "check what answers at the entry address", "the reply tells no outcome: %.200s", reply)
+		return nil, errkind.New(errkind.Internal, "check what answers at the entry address", "the reply has no outcome: %.200s", reply)
 	}
 	if answer.ID != s.id && answer.ID != "" {
-		return nil, errkind.New(errkind.Internal, "check the balancer", "the reply answers id %s", answer.ID)
+		return nil, errkind.New(errkind.Internal, "check the balancer", "the reply is for id %s", answer.ID)
 	}
 	if answer.Home != "" {
 		c.home.Store(&jobapi.Home{Home: answer.Home, HomeAddress: answer.HomeAddress})
@@ -259,7 +259,7 @@
 	return &answer, nil
 }
 
-// Cancel ends a job as far as it has not started and returns its outcome.
+// Cancel cancels the tasks of a job that have not started and returns its outcome.
 func (c *Client) Cancel(ctx context.Context, id string) (once.Outcome, error) {
 	reply, _, err := c.do(ctx, http.MethodDelete, c.anyEntry(), jobapi.PathJobs+"/"+id, nil)
 	if err != nil {
@@ -290,8 +290,8 @@
 	return reply, response.StatusCode, err
 }
 
-// entryFor returns the primary's address for the first try, if that is
-// wanted, and any entry after.
+// entryFor returns the primary's address for the first attempt if Options.Direct is
+// set, and otherwise a random entry.
 func (c *Client) entryFor(s *submission) string {
 	if c.options.Direct && s.tries == 1 && s.address != "" {
 		return s.address
@@ -303,7 +303,7 @@
 	return c.options.Entries[rand.IntN(len(c.options.Entries))]
 }
 
-func newPart() string {
+func newRandomPart() string {
 	part := make([]byte, partBytes)
 	_, _ = crand.Read(part) // never fails
 	return hex.EncodeToString(part)
--- a/pkg/client/client_test.go
+++ b/pkg/client/client_test.go
@@ -16,12 +16,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// entryHost answers submissions in turn, the last one again and again.
+// entryHost sends the replies in order and repeats the last one.
 type entryHost struct {
 	mu      sync.Mutex
-	replies []string // ID stands for the submission's id; an empty one is lost
-	homes   []string // replies to requests for a home, likewise
-	ids     []string // that were submitted
+	replies []string // ID stands for the submission's id; an empty reply is lost
+	homes   []string // replies to requests for a home, in order, the last one repeated
+	ids     []string // ids of the submissions received
 }
 
 func (e *entryHost) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -49,9 +49,9 @@
 	return reply
 }
 
-// A job is submitted under a new id, or told as one that didn't run, only after an answer
-// that says so of its id.
-func TestWhatAnswersToASubmissionSay(t *testing.T) {
+// Guards against a new id, or a report that a job did not run, without an answer for
+// the job's id that confirms it.
+func TestSubmissionAnswers(t *testing.T) {
 	const (
 		home       = `{"home":"co-1-2-3"}`
 		lost       = ""
--- a/pkg/client/example_test.go
+++ b/pkg/client/example_test.go
@@ -9,7 +9,7 @@
 	"github.com/foxcroft/foxcroft/pkg/client"
 )
 
-// Submit a job through the balancer and tell the ways in which it can end.
+// Submit a job through the balancer and handle each way in which it can end.
 func Example() {
 	foxcroft := client.New(client.Options{Entries: []string{"127.0.0.1:8080"}})
 	result, err := foxcroft.Submit(context.Background(), client.Job{
