--- a/pkg/platform/answers_test.go
+++ b/pkg/platform/answers_test.go
@@ -12,10 +12,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Only a 503 says that a write had no effect, and a 409 that it conflicts. Any other
-// answer may come after the effect, from a service that fails while it answers or from
-// what stands before it: an operator would be told that a version isn't in force which is.
-func TestWhatAnswersToAWriteSay(t *testing.T) {
+// Only statuses 503 and 409 confirm that a write had no effect. Guards against treating
+// any other error, such as a proxy's, as a write that did not take effect.
+func TestWriteAnswers(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		status   int
@@ -42,8 +41,8 @@
 	}
 }
 
-// A row that was asked for is one of that key, written at least once.
-func TestWhatAnswersToAReadSay(t *testing.T) {
+// Guards against accepting a reply that is not the requested row, or was never written.
+func TestReadAnswers(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		status   int
@@ -65,8 +64,8 @@
 	}
 }
 
-// answering makes a client of a service that answers each call alike. Elsewhere, where
-// redirects lead, it has done nothing.
+// answering makes a client of a service that sends the same answer to each call. The
+// target of its redirects answers 503, as if the call had no effect.
 func answering(t *testing.T, status int, body string) platform.Platform {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/elsewhere" {
--- a/pkg/platform/contract_test.go
+++ b/pkg/platform/contract_test.go
@@ -15,10 +15,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// newPlatformFunc makes an empty platform, and a function that sets its faults.
+// newPlatformFunc makes an empty platform and a function that injects faults into it.
 type newPlatformFunc func(t *testing.T) (platform.Platform, func(platformd.Faults))
 
-// TestContract is what every implementation of platform.Platform has to pass.
+// TestContract runs the contract of platform.Platform for each implementation.
 func TestContract(t *testing.T) {
 	implementations := []struct {
 		testName    string
--- a/pkg/platform/http.go
+++ b/pkg/platform/http.go
@@ -34,13 +34,13 @@
 // NewHTTPClient makes a client of the service at an address (IP:port).
 func NewHTTPClient(address string) *HTTPClient {
 	return &HTTPClient{base: "http://" + address, http: &http.Client{
-		Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 4}, CheckRedirect: stayWithAnswer,
+		Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 4}, CheckRedirect: refuseRedirect,
 	}}
 }
 
-// stayWithAnswer keeps the client from following redirects: the answer of another place
-// says nothing of what was done at this one.
-func stayWithAnswer(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// refuseRedirect keeps the client from following redirects: the answer of another
+// server does not tell what happened at this one.
+func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // Get implements Table.
 func (c *HTTPClient) Get(ctx context.Context, key string) (Row, error) {
@@ -109,12 +109,12 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, lostKind(err, method, connected)
+		return nil, noAnswerError(err, method, connected)
 	}
 	defer response.Body.Close()
 	reply, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return nil, lostKind(err, method, connected)
+		return nil, noAnswerError(err, method, connected)
 	}
 	if method == http.MethodGet {
 		return reply, readError(response.StatusCode, reply)
@@ -122,8 +122,9 @@
 	return reply, writeError(response.StatusCode, reply)
 }
 
-// lostKind tells a call that had no effect from one that may have had one.
-func lostKind(err error, method string, connected bool) error {
+// noAnswerError returns the error of a call without an answer: PlatformDown when it had no
+// effect, PlatformMaybe when it may have had one.
+func noAnswerError(err error, method string, connected bool) error {
 	if method == http.MethodGet || !connected {
 		return errkind.Wrap(err, errkind.PlatformDown, remedyRetry, "the platform's service does not answer")
 	}
@@ -141,9 +142,9 @@
 	return errkind.New(errkind.PlatformDown, remedyRetry, "the platform's service answers with status %d: %.200s", status, reply)
 }
 
-// writeError returns the error for the status of a write. Only the two that the service
-// has for it say that there was no effect. Any other may come after the effect: an
-// operator would be told that a version isn't in force which is.
+// writeError returns the error for the status of a write. Only 409 and 503 confirm that
+// the write had no effect. With any other error status it may have taken effect, and an
+// operator must not be told that a version isn't in force when it is.
 func writeError(status int, reply []byte) error {
 	switch status {
 	case http.StatusOK:
--- a/pkg/platform/platform.go
+++ b/pkg/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the interface to the platform's services: a
-// transactional table, an object store and a lagging list of hosts. What has
-// to last or be agreed goes through it.
+// Package platform is the interface to the platform's services: a transactional table,
+// an object store and a list of hosts that may be out of date. Durable state and
+// agreement between hosts rely on it.
 package platform
 
 import (
@@ -21,8 +21,8 @@
 type Write struct {
 	Key     string        `json:"key"`
 	Value   []byte        `json:"value"`
-	Expect  uint64        `json:"expect"`            // the row's version must be this; 0 means that there is no row
-	Expires time.Duration `json:"expires,omitempty"` // the platform may drop the row after it; 0 keeps it
+	Expect  uint64        `json:"expect"`            // required version of the row; 0 means that the row must not exist
+	Expires time.Duration `json:"expires,omitempty"` // the platform may delete the row after this time; 0 keeps it
 }
 
 // Host is a host in the platform's list.
@@ -34,10 +34,10 @@
 	Leaving     bool   `json:"leaving"`
 }
 
-// Table is the transactional table. Errors have these kinds: PlatformDown,
-// the call had no effect, as the service said or as it was never reached;
-// PlatformMaybe, the answer was lost or doesn't say, and a write may have taken
-// effect; Conflict, an expected version differs; NotFound, of reads.
+// Table is the transactional table. Errors have these kinds: PlatformDown, the call
+// had no effect, because the service refused it or was not reached; PlatformMaybe, the
+// answer was lost or inconclusive, and a write may have taken effect; Conflict, a row's
+// version differs from the expected one; NotFound, a read found no row.
 type Table interface {
 	Get(ctx context.Context, key string) (Row, error)
 	Scan(ctx context.Context, prefix string) ([]Row, error)
@@ -46,14 +46,14 @@
 	Commit(ctx context.Context, writes []Write) error
 }
 
-// Objects is the object store. Objects are named by their digest and never
-// change, so putting one again does no harm.
+// Objects is the object store. Objects are named by their digest and never change, so
+// PutObject is idempotent.
 type Objects interface {
 	PutObject(ctx context.Context, digest string, body []byte) error
 	GetObject(ctx context.Context, digest string) ([]byte, error)
 }
 
-// HostList is the list of hosts, which may be old, wrong or not to be had.
+// HostList is the list of hosts, which may be out of date, wrong or unavailable.
 type HostList interface {
 	Hosts(ctx context.Context) ([]Host, error)
 }
@@ -65,6 +65,6 @@
 	HostList
 }
 
-// Clients are the implementations that there are, named by the settings key
-// client of [platform]. Each makes a client for an address.
+// Clients registers the implementations, by the value of the settings key client of
+// [platform]. Each makes a client for an address.
 var Clients = kernel.NewRegistry[func(address string) Platform]("platform client")
