--- a/pkg/peer/link_test.go
+++ b/pkg/peer/link_test.go
@@ -24,7 +24,7 @@
 	// incarnation is the first byte of the incarnation in the host's hello.
 	incarnation atomic.Int64
 	handle      func(m *peerpb.Message, reply Reply)
-	greeted     atomic.Int64
+	linksAccepted     atomic.Int64
 }
 
 func (f *fakeHost) LinkUp(string, *peerpb.Hello)           { f.up.Add(1); f.ups.Add(1) }
@@ -35,7 +35,7 @@
 	return &peerpb.Hello{Name: "fake", Incarnation: []byte{byte(f.incarnation.Load())}}
 }
 func (f *fakeHost) Heartbeat() *peerpb.Heartbeat { return &peerpb.Heartbeat{} }
-func (f *fakeHost) LinkAccepted(*peerpb.Hello)   { f.greeted.Add(1) }
+func (f *fakeHost) LinkAccepted(*peerpb.Hello)   { f.linksAccepted.Add(1) }
 func (f *fakeHost) LinkClosed(*peerpb.Hello)     {}
 func (f *fakeHost) Handle(_ *peerpb.Hello, m *peerpb.Message, reply Reply) {
 	if m.GetHeartbeat() != nil {
