--- a/pkg/peer/link_test.go
+++ b/pkg/peer/link_test.go
@@ -22,9 +22,9 @@
 	// resumed counts the links that continued on another connection.
 	resumed atomic.Int64
 	// incarnation is the first byte of the incarnation in the host's hello.
-	incarnation atomic.Int64
-	handle      func(m *peerpb.Message, reply Reply)
-	linksAccepted     atomic.Int64
+	incarnation   atomic.Int64
+	handle        func(m *peerpb.Message, reply Reply)
+	linksAccepted atomic.Int64
 }
 
 func (f *fakeHost) LinkUp(string, *peerpb.Hello)           { f.up.Add(1); f.ups.Add(1) }
