--- a/pkg/platform/answers_test.go
+++ b/pkg/platform/answers_test.go
@@ -27,10 +27,10 @@
 		{"another success", http.StatusAccepted, errkind.PlatformMaybe},
 		{"moved", http.StatusSeeOther, errkind.PlatformMaybe},
 		{"a wrong call", http.StatusBadRequest, errkind.PlatformMaybe},
-		{"out of time at the service", http.StatusRequestTimeout, errkind.PlatformMaybe},
-		{"an error while it answers", http.StatusInternalServerError, errkind.PlatformMaybe},
-		{"an error before the service", http.StatusBadGateway, errkind.PlatformMaybe},
-		{"out of time before the service", http.StatusGatewayTimeout, errkind.PlatformMaybe},
+		{"timeout at the service", http.StatusRequestTimeout, errkind.PlatformMaybe},
+		{"an internal error", http.StatusInternalServerError, errkind.PlatformMaybe},
+		{"an error of a proxy", http.StatusBadGateway, errkind.PlatformMaybe},
+		{"timeout at a proxy", http.StatusGatewayTimeout, errkind.PlatformMaybe},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -51,10 +51,10 @@
 	}{
 		{"the row", http.StatusOK, `{"key":"a","value":"MQ==","version":1}`, ""},
 		{"not found", http.StatusNotFound, "", errkind.NotFound},
-		{"an answer that tells nothing", http.StatusOK, `{}`, errkind.PlatformDown},
+		{"an empty object", http.StatusOK, `{}`, errkind.PlatformDown},
 		{"another row", http.StatusOK, `{"key":"b","value":"MQ==","version":1}`, errkind.PlatformDown},
 		{"unreadable", http.StatusOK, `<html>`, errkind.PlatformDown},
-		{"an error while it answers", http.StatusInternalServerError, "", errkind.PlatformDown},
+		{"an internal error", http.StatusInternalServerError, "", errkind.PlatformDown},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/pkg/platform/contract_test.go
+++ b/pkg/platform/contract_test.go
@@ -49,16 +49,16 @@
 		run      func(t *testing.T, p platform.Platform, set func(platformd.Faults))
 	}{
 		{"a transaction does all or nothing", platformd.Faults{}, allOrNothing},
-		{"of racing writers one wins", platformd.Faults{}, oneWins},
-		{"of racing writers one wins though it is slow", platformd.Faults{SlowMS: 5}, oneWins},
-		{"what is not there is not found", platformd.Faults{}, notFound},
-		{"objects stay as they were put", platformd.Faults{}, objects},
-		{"a down platform says so for reads", platformd.Faults{Down: true}, downReads},
+		{"one of several concurrent writers wins", platformd.Faults{}, oneWins},
+		{"one of several concurrent writers wins on a slow platform", platformd.Faults{SlowMS: 5}, oneWins},
+		{"a missing row or object is not found", platformd.Faults{}, notFound},
+		{"objects are returned unchanged", platformd.Faults{}, objects},
+		{"reads fail while the platform is down", platformd.Faults{Down: true}, downReads},
 		{"an error without effect", platformd.Faults{FailCalls: 1}, failedWrite},
 		{"an answer lost after the effect", platformd.Faults{LoseAnswers: 1}, lostAnswer},
-		{"an answer lost while it is slow", platformd.Faults{LoseAnswers: 1, SlowMS: 5}, lostAnswer},
+		{"an answer lost on a slow platform", platformd.Faults{LoseAnswers: 1, SlowMS: 5}, lostAnswer},
 		{"an error after the effect", platformd.Faults{FailAnswers: 1}, lostAnswer},
-		{"the list is down, the table is not", platformd.Faults{ListDown: true}, listDown},
+		{"the list is down, the table is up", platformd.Faults{ListDown: true}, listDown},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
