--- a/pkg/integration/client_deadline_test.go
+++ b/pkg/integration/client_deadline_test.go
@@ -12,8 +12,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A job that waits until its deadline is told that it did not run: the library
-// waits for the answer that comes at the deadline.
+// Guards against the library giving up before the refusal that the host sends at the
+// deadline of a job that has not started.
 func TestClientWaitsForTheAnswerAtTheDeadline(t *testing.T) {
 	d := newDriver(t, 1).start().apply("")
 	d.startHanging(allSlots)
--- a/pkg/integration/complete_answer_test.go
+++ b/pkg/integration/complete_answer_test.go
@@ -8,9 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A job's answer is whole and in order, from whichever host it is asked for,
-// and its tasks start once however often it is submitted.
-func TestWholeJob(t *testing.T) {
+// Every host returns the complete answer of a job, in order, and its tasks start once
+// however often it is submitted.
+func TestCompleteAnswer(t *testing.T) {
 	d := newDriver(t, 3).start().apply("")
 	home := d.home("d1-1")
 	job := newJob().id(once.ID{Home: home, Part: "j"}.String()).tasks(20, 1)
@@ -30,8 +30,8 @@
 	d.assertNoDoubles()
 }
 
-// A job that lands on one host gets the slots of the whole domain, and of
-// another domain when its own is full.
+// A job submitted at one host uses the slots of its whole domain, and those of another
+// domain when its own is full.
 func TestLargeJobGetsAllSlots(t *testing.T) {
 	d := newDriver(t, 2, 2).start().apply("default_deadline = 1m\nmax_deadline = 1m")
 	const all = 2 * executorsPerDomain * slots
@@ -39,7 +39,7 @@
 	d.waitForStarts(all)
 }
 
-// Answers of two submissions that run at once do not cross.
+// Guards against mixing up the answers of two concurrent submissions.
 func TestAnswersDoNotCross(t *testing.T) {
 	d := newDriver(t, 3).start().apply("")
 	pending := map[string]<-chan jobAnswer{}
--- a/pkg/integration/configuration_test.go
+++ b/pkg/integration/configuration_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A host without a configuration serves nothing and says why.
+// A host without a configuration refuses requests and gives the reason.
 func TestNoConfiguration(t *testing.T) {
 	d := newDriver(t, 2).start()
 	status, body := d.call("d1-1", http.MethodGet, jobapi.PathReady, "")
@@ -25,8 +25,8 @@
 	qt.Assert(t, status, qt.Equals, http.StatusOK)
 }
 
-// A host that starts while the platform is down takes the configuration from
-// its peers, whatever version it is, and never an older one later.
+// A host that starts while the platform is down fetches the configuration from its
+// peers, and never replaces it by an older one.
 func TestRestartDuringAnOutage(t *testing.T) {
 	d := newDriver(t, 3).start().apply("").apply("max_tasks = 7")
 	d.store.SetFaults(platformd.Faults{Down: true})
@@ -38,7 +38,7 @@
 	d.assertOutcome(d.submit("d1-2", newJob().tasks(8, 1)), once.Refused)
 }
 
-// When only one host reaches the platform, the others agree through it.
+// When only one host reaches the platform, the others get the configuration from it.
 func TestOneReader(t *testing.T) {
 	d := newDriver(t, 3)
 	for _, name := range []string{"d1-1", "d1-3"} {
@@ -48,8 +48,8 @@
 	d.assertOutcome(d.submit("d1-3", newJob().tasks(3, 1)), once.Complete)
 }
 
-// Targets that the platform's list names as leaving get no work, whether it is
-// right or wrong, and get it again when the list is mended.
+// Targets that the platform's list marks as leaving get no work until the list no
+// longer marks them.
 func TestListedLeaving(t *testing.T) {
 	d := newDriver(t, 1).start().apply("")
 	leaving := func(is bool) {
@@ -63,11 +63,11 @@
 	d.eventually("no slot is used", func() bool { return free() == 0 })
 	d.assertOutcome(d.submit("d1-1", newJob().task(1, "")), once.Refused)
 	leaving(false)
-	d.eventually("the slots are back", func() bool { return free() == executorsPerDomain*slots })
+	d.eventually("the slots are free again", func() bool { return free() == executorsPerDomain*slots })
 	d.assertOutcome(d.submit("d1-1", newJob().task(1, "")), once.Complete)
 }
 
-// A list that is down, or old, leaves the hosts with what they know.
+// When the list is unavailable or stale, the hosts keep their last state.
 func TestListFaults(t *testing.T) {
 	scenarios := []struct {
 		testName string
--- a/pkg/integration/driver_test.go
+++ b/pkg/integration/driver_test.go
@@ -1,6 +1,5 @@
-// Package integration drives whole installations inside the test process:
-// entry hosts, stand-in targets and the stand-in platform, over loopback.
-// There is one scenario a file.
+// Package integration tests complete installations inside the test process: entry
+// hosts, simulated targets and a simulated platform, over loopback.
 package integration
 
 import (
@@ -32,14 +31,14 @@
 const (
 	executorsPerDomain = 3
 	slots              = 4
-	patience           = 30 * time.Second // for what has to come about at last
+	eventuallyTimeout  = 30 * time.Second // for conditions that must hold eventually
 	pollPause          = 5 * time.Millisecond
 )
 
-// networks numbers the loopback networks, so that tests share no address.
+// networks counts the loopback networks, so that tests share no address.
 var networks atomic.Int64
 
-// driver is an installation and what a test does with it.
+// driver runs an installation and the actions of a test on it.
 type driver struct {
 	t         *testing.T
 	network   string // first three numbers of its addresses
@@ -53,8 +52,8 @@
 	incs      map[string]once.Incarnation
 }
 
-// newDriver starts a platform, executors and hosts: so many a domain, named
-// d1-1, d1-2 and so on.
+// newDriver starts a platform and executors, and defines the given number of hosts per
+// domain, named d1-1, d1-2 and so on.
 func newDriver(t *testing.T, hostsPerDomain ...int) *driver {
 	d := &driver{
 		t:         t,
@@ -209,12 +208,12 @@
 	})
 }
 
-// eventually waits for a condition that has to come about.
+// eventually waits until a condition holds.
 func (d *driver) eventually(what string, condition func() bool) {
 	d.t.Helper()
-	for deadline := time.Now().Add(patience); !condition(); time.Sleep(pollPause) {
+	for deadline := time.Now().Add(eventuallyTimeout); !condition(); time.Sleep(pollPause) {
 		if time.Now().After(deadline) {
-			d.t.Fatalf("it never came about that %s", what)
+			d.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
@@ -289,7 +288,7 @@
 	_, reply := d.call(host, http.MethodPost, jobapi.PathJobs, string(body))
 	var answer jobapi.Answer
 	if err := json.Unmarshal([]byte(reply), &answer); err != nil {
-		answer.Message = reply // the host is gone
+		answer.Message = reply // the host did not answer
 	}
 	return answer
 }
--- a/pkg/integration/failed_task_test.go
+++ b/pkg/integration/failed_task_test.go
@@ -11,8 +11,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// One failed task fails its job, no result is given, and the tasks that have
-// not started are dropped.
+// One failed task fails its job: no result is returned, and the tasks that have not
+// started are dropped.
 func TestFailedTask(t *testing.T) {
 	d := newDriver(t, 1).start().apply("")
 	job := newJob().work(targetd.Work{Fail: true}).tasks(allSlots-1, 500).tasks(100, 500)
@@ -27,7 +27,7 @@
 	qt.Assert(t, d.ledger.Counters().Starts <= allSlots, qt.IsTrue, qt.Commentf("%d starts", d.ledger.Counters().Starts))
 }
 
-// startHanging has tasks of a job hang at the targets.
+// startHanging starts a job whose tasks hang at the targets.
 func (d *driver) startHanging(tasks int) {
 	for _, executor := range d.executors {
 		executor.SetFaults(targetd.Faults{Hang: true})
@@ -40,8 +40,8 @@
 
 const allSlots = executorsPerDomain * slots
 
-// A deadline that passes before any task started is a refusal; one that
-// passes later is not.
+// A job is refused if its deadline passes before any task has started, and not if it
+// passes later.
 func TestDeadline(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -62,7 +62,7 @@
 	}
 }
 
-// A job is cancelled at any host; what runs is not said to be not run.
+// A job can be cancelled at any host, and is not refused if a task has started.
 func TestCancel(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -91,7 +91,7 @@
 	}
 }
 
-// Targets that refuse, leave or are gone cost nothing but another attempt.
+// Targets that refuse, leave or are unreachable only cost another attempt.
 func TestTargetsThatDoNotStart(t *testing.T) {
 	scenarios := []struct {
 		testName string
@@ -99,7 +99,7 @@
 	}{
 		{"refuses", func(e *targetd.Executor) { e.SetFaults(targetd.Faults{Refuse: true}) }},
 		{"leaves", func(e *targetd.Executor) { e.SetFaults(targetd.Faults{Leaving: true}) }},
-		{"is gone", (*targetd.Executor).Close},
+		{"is closed", (*targetd.Executor).Close},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
--- a/pkg/integration/golden_test.go
+++ b/pkg/integration/golden_test.go
@@ -16,8 +16,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// session records requests and replies as text, with what differs between
-// runs taken out.
+// session records requests and replies as text, without the parts that differ between
+// runs.
 type session struct {
 	d    *driver
 	text strings.Builder
@@ -53,7 +53,7 @@
 	qt.Assert(t, s.text.String(), qt.Equals, string(golden))
 }
 
-// TestGoldenSession is a caller's whole session: every answer and error.
+// TestGoldenSession compares the answers and errors of a caller's session to a file.
 func TestGoldenSession(t *testing.T) {
 	d := newDriver(t, 2).start().apply("max_tasks = 3\nmax_deadline = 20s")
 	s := &session{d: d}
--- a/pkg/integration/keys_test.go
+++ b/pkg/integration/keys_test.go
@@ -8,14 +8,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A plain key runs once, wherever and however often it is submitted, through
-// faults of the platform.
+// The job of a plain key runs once, at whichever hosts and however often it is
+// submitted, despite faults of the platform.
 func TestPlainKeys(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		faults   platformd.Faults
 	}{
-		{"calm", platformd.Faults{}},
+		{"no faults", platformd.Faults{}},
 		{"answers lost after the write", platformd.Faults{LoseAnswers: 2}},
 		{"errors", platformd.Faults{FailCalls: 2}},
 		{"slow", platformd.Faults{SlowMS: 20}},
@@ -36,7 +36,7 @@
 				if answer.Outcome == once.Complete.String() {
 					continue
 				}
-				d.assertOutcome(answer, once.Unknown) // never "not run": another submission may have run
+				d.assertOutcome(answer, once.Unknown) // not refused: another submission may have run
 			}
 			d.assertOutcome(d.submit("d1-1", job), once.Complete)
 			qt.Assert(t, d.ledger.Counters().Starts, qt.Equals, uint64(3))
@@ -45,8 +45,8 @@
 	}
 }
 
-// While the platform is down a key cannot be bound; that is never called "not
-// run", and the same key goes through afterwards. Ids with a home go on.
+// While the platform is down, a key cannot be bound: its submission has an unknown
+// outcome and succeeds afterwards under the same key. Ids with a home still work.
 func TestPlainKeysDuringAnOutage(t *testing.T) {
 	d := newDriver(t, 3).start().apply("")
 	home := d.home("d1-1")
--- a/pkg/integration/planned_stop_test.go
+++ b/pkg/integration/planned_stop_test.go
@@ -9,8 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A planned stop cuts off nothing: the job under way is answered, and what
-// the host remembered is answered by its backup afterwards.
+// A planned stop interrupts no job: the job under way is answered, and its backup has
+// the stored answers afterwards.
 func TestPlannedStop(t *testing.T) {
 	d := newDriver(t, 3).start().apply("copy_answers = none")
 	home := d.home("d1-1")
@@ -33,15 +33,12 @@
 	d.assertNoDoubles()
 }
 
-// All hosts are replaced one after another while jobs run; with the callers'
-// library nothing is lost. TestRollingReplacement is in rolling_test.go.
-
-// A stop first turns the health check.
-func TestStopTurnsTheHealthCheck(t *testing.T) {
+// A stop makes the health check fail first.
+func TestStopFailsTheHealthCheck(t *testing.T) {
 	d := newDriver(t, 2).start().apply("")
-	d.settings["d1-1"].LeaveNotice = patience
+	d.settings["d1-1"].LeaveNotice = eventuallyTimeout
 	go d.hosts["d1-1"].Stop()
-	d.eventually("the health check says leaving", func() bool {
+	d.eventually("the health check reports leaving", func() bool {
 		status, _ := d.call("d1-1", http.MethodGet, jobapi.PathHealth, "")
 		return status == http.StatusServiceUnavailable
 	})
--- a/pkg/integration/primary_failure_test.go
+++ b/pkg/integration/primary_failure_test.go
@@ -11,19 +11,19 @@
 
 type jobAnswer = jobapi.Answer
 
-// When the primary dies, its backup answers for what it recorded, and only
-// what it did not record is said to be not run.
-func TestPrimaryGone(t *testing.T) {
+// When the primary fails, its backup answers for the ids that it has recorded, and
+// refuses only those that it has not.
+func TestPrimaryFailure(t *testing.T) {
 	scenarios := []struct {
 		testName string
 		millis   float64 // of the task; long ones are under way at the kill
-		recorded bool    // the id reached the primary
+		recorded bool    // whether the id reached the primary
 		outcome  once.Outcome
 		kind     errkind.Kind
 	}{
 		{"under way", 60_000, true, once.Failed, errkind.MayHaveRun},
 		{"answered, and the answer copied", 1, true, once.Complete, ""},
-		{"never reached it", 1, false, once.Refused, errkind.HomeClosed},
+		{"did not reach the primary", 1, false, once.Refused, errkind.HomeClosed},
 	}
 	for _, s := range scenarios {
 		t.Run(s.testName, func(t *testing.T) {
@@ -53,8 +53,8 @@
 	}
 }
 
-// waitForCopy waits until a home's backup has counted a copy: copies travel
-// behind the records on the same stream.
+// waitForCopy waits until a home's backup has received a copy: copies follow the
+// records on the same stream.
 func (d *driver) waitForCopy(home once.Home) {
 	primary := d.nameOf(home.Primary)
 	d.eventually("the answer is copied", func() bool { return d.status(primary).Messages["copy"] > 0 })
@@ -62,9 +62,9 @@
 	d.assertOutcome(d.submit(primary, newJob().id(once.ID{Home: home, Part: "after"}.String()).task(1, "")), once.Complete)
 }
 
-// A primary whose backup is gone starts nothing under the old home, says so
-// truthfully, and goes on serving under a new one.
-func TestBackupGone(t *testing.T) {
+// A primary whose backup is unreachable refuses submissions under the old home and
+// continues to serve under a new one.
+func TestBackupFailure(t *testing.T) {
 	d := newDriver(t, 3).start().apply("")
 	home := d.home("d1-1")
 	d.kill(d.nameOf(home.Backup))
@@ -74,7 +74,7 @@
 	qt.Assert(t, d.ledger.Counters().Starts, qt.Equals, uint64(0))
 	again := d.submit("d1-1", newJob().id(once.ID{Home: home, Part: "j"}.String()).task(1, ""))
 	qt.Assert(t, again.Outcome, qt.Equals, answer.Outcome, qt.Commentf("a closed id stays closed"))
-	d.eventually("a new home serves", func() bool {
+	d.eventually("a job under a new home completes", func() bool {
 		fresh := d.home("d1-1")
 		return d.submit("d1-1", newJob().id(once.ID{Home: fresh, Part: "k"}.String()).task(1, "")).Outcome == once.Complete.String()
 	})
--- a/pkg/integration/rolling_test.go
+++ b/pkg/integration/rolling_test.go
@@ -13,10 +13,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// All hosts are replaced one after another while callers submit; with the
-// callers' library every job is complete and started once. The notice has to
-// be longer than callers take to come back: an id whose primary and backup are
-// both gone is answered "unknown" for good.
+// All hosts are replaced one after another while callers submit through the library:
+// every job completes and starts once. The notice must be longer than callers take to
+// retry: an id whose primary and backup are both replaced has an unknown outcome.
 func TestRollingReplacement(t *testing.T) {
 	d := newDriver(t, 3)
 	for _, s := range d.settings {
@@ -38,7 +37,7 @@
 			for i := 0; !stop.Load(); i++ {
 				text := fmt.Sprintf("%d/%d", caller, i)
 				payload, _ := json.Marshal(map[string]any{"ms": 1, "echo": text})
-				result, err := callers.Submit(context.Background(), client.Job{Service: "desk", Team: "a", Deadline: patience, Tasks: []json.RawMessage{payload, payload}})
+				result, err := callers.Submit(context.Background(), client.Job{Service: "desk", Team: "a", Deadline: eventuallyTimeout, Tasks: []json.RawMessage{payload, payload}})
 				if err != nil {
 					t.Errorf("job %s: %v", text, err)
 					return
@@ -55,7 +54,7 @@
 		d.hosts[name].Stop()
 		d.start(name)
 		d.waitForLinks()
-		d.eventually("jobs go on", func() bool { return jobs.Load() > before+10 })
+		d.eventually("jobs still complete", func() bool { return jobs.Load() > before+10 })
 	}
 	stop.Store(true)
 	wait.Wait()
