--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -30,7 +30,7 @@
 	defaultDeadline = 10 * time.Second
 	homePause       = 100 * time.Millisecond
 	answerGrace     = time.Second            // how long after the deadline the answer is awaited
-	freshHome       = 200 * time.Millisecond // after a longer wait, a new home is fetched
+	homeRefetchWait = 200 * time.Millisecond // after a longer wait, a new home is fetched
 	remedyMayRun    = "check at the service whether the job ran before you submit it under a new id"
 )
 
@@ -101,14 +101,14 @@
 
 // submission is the state of a job from its submission to its answer.
 type submission struct {
-	job      Job
-	part     string
-	id       string
-	address  string // of the home's primary, if callers may reach it
-	deadline time.Time
-	tries    int
-	ids      int  // number of ids that the job has had
-	unresolved  bool // an attempt under this id had no answer, or one of unknown outcome
+	job        Job
+	part       string
+	id         string
+	address    string // of the home's primary, if callers may reach it
+	deadline   time.Time
+	tries      int
+	ids        int  // number of ids that the job has had
+	unresolved bool // an attempt under this id had no answer, or one of unknown outcome
 }
 
 // Submit submits a job and waits for its answer. The error is a *JobError.
@@ -140,7 +140,7 @@
 		if step == retry.SameID {
 			continue
 		}
-		if wait > freshHome {
+		if wait > homeRefetchWait {
 			// Both hosts of the known home may have been replaced.
 			c.home.Store(nil)
 		}
--- a/pkg/entry/members.go
+++ b/pkg/entry/members.go
@@ -21,12 +21,12 @@
 // implements peer.Observer.
 type members struct {
 	*common.Common
-	self    member.Peer
-	links   *peer.Set
-	host    *Host
-	gossip  bool
-	current atomic.Pointer[member.View]
-	beats   atomic.Uint64
+	self       member.Peer
+	links      *peer.Set
+	host       *Host
+	gossip     bool
+	current    atomic.Pointer[member.View]
+	heartbeats atomic.Uint64
 
 	mu    sync.Mutex
 	table *member.Table
@@ -118,19 +118,19 @@
 // Heartbeat implements peer.Observer.
 func (m *members) Heartbeat() *peerpb.Heartbeat {
 	load := m.host.totals()
-	beat := &peerpb.Heartbeat{
+	heartbeat := &peerpb.Heartbeat{
 		Version: m.host.conf.version(),
 		Leaving: m.host.leaving.Load(),
 		Waiting: uint32(load.Waiting),
 		Free:    uint32(load.Free),
 		Usable:  uint32(load.Usable),
 	}
-	if m.gossip && m.beats.Add(1)%gossipEvery == 1 {
+	if m.gossip && m.heartbeats.Add(1)%gossipEvery == 1 {
 		for _, p := range m.view().Domain() {
-			beat.Addresses = append(beat.Addresses, p.Address)
+			heartbeat.Addresses = append(heartbeat.Addresses, p.Address)
 		}
 	}
-	return beat
+	return heartbeat
 }
 
 // HeartbeatReply implements peer.Observer.
@@ -143,31 +143,31 @@
 }
 
 // recordHeartbeat applies the contents of a peer's heartbeat.
-func (m *members) recordHeartbeat(p member.Peer, beat *peerpb.Heartbeat) {
-	if len(beat.Addresses) > 0 && p.Domain == m.self.Domain {
+func (m *members) recordHeartbeat(p member.Peer, heartbeat *peerpb.Heartbeat) {
+	if len(heartbeat.Addresses) > 0 && p.Domain == m.self.Domain {
 		m.mu.Lock()
-		m.table.AddAddresses(beat.Addresses, m.Clock.Now())
+		m.table.AddAddresses(heartbeat.Addresses, m.Clock.Now())
 		m.mu.Unlock()
 	}
-	if beat.Leaving != p.Leaving {
-		p.Leaving = beat.Leaving
+	if heartbeat.Leaving != p.Leaving {
+		p.Leaving = heartbeat.Leaving
 		m.update(func(t *member.Table) { t.UpdateIfUp(p) })
 	}
-	p.Version, p.Waiting, p.Free, p.Usable = beat.Version, int(beat.Waiting), int(beat.Free), m.usable(beat)
+	p.Version, p.Waiting, p.Free, p.Usable = heartbeat.Version, int(heartbeat.Waiting), int(heartbeat.Free), m.usable(heartbeat)
 	m.recordLoad(p)
 	m.host.onLoad(p.Name, loadOf(p))
-	if beat.Version > m.host.conf.version() {
+	if heartbeat.Version > m.host.conf.version() {
 		go m.host.fetchConfig(p)
 	}
 }
 
 // usable returns the number of slots that a peer may use, at least 1 for a peer that
 // does not have this host's configuration yet.
-func (m *members) usable(beat *peerpb.Heartbeat) int {
-	if beat.Version < m.host.conf.version() {
-		return max(1, int(beat.Usable))
+func (m *members) usable(heartbeat *peerpb.Heartbeat) int {
+	if heartbeat.Version < m.host.conf.version() {
+		return max(1, int(heartbeat.Usable))
 	}
-	return int(beat.Usable)
+	return int(heartbeat.Usable)
 }
 
 // recordLoad stores a peer's load for the status page, without notifying the
--- a/pkg/entry/peers.go
+++ b/pkg/entry/peers.go
@@ -53,12 +53,12 @@
 	reply(&peerpb.Message{Body: &peerpb.Message_RecordReply{RecordReply: &peerpb.RecordReply{Ack: uint32(ack)}}}, 0)
 }
 
-func (h *Host) onHeartbeat(from *peerpb.Hello, beat *peerpb.Heartbeat, reply peer.Reply) {
+func (h *Host) onHeartbeat(from *peerpb.Hello, heartbeat *peerpb.Heartbeat, reply peer.Reply) {
 	reply(&peerpb.Message{Body: &peerpb.Message_Heartbeat{Heartbeat: h.members.Heartbeat()}}, 0)
 	var inc once.Incarnation
 	copy(inc[:], from.Incarnation)
 	if p, ok := h.members.view().ByIncarnation(inc); ok {
-		h.members.recordHeartbeat(p, beat)
+		h.members.recordHeartbeat(p, heartbeat)
 	}
 }
 
--- a/pkg/peer/callers.go
+++ b/pkg/peer/callers.go
@@ -62,10 +62,10 @@
 }
 
 // remove removes a caller and stops its timer. c.mu is held.
-func (c *callers) remove(gone *caller) {
-	delete(c.current, keyOf(gone.hello))
-	if gone.expiry != nil {
-		gone.expiry.Stop()
+func (c *callers) remove(former *caller) {
+	delete(c.current, keyOf(former.hello))
+	if former.expiry != nil {
+		former.expiry.Stop()
 	}
 }
 
@@ -98,11 +98,11 @@
 }
 
 // expire closes the link of a peer that opened no other connection in time.
-func (c *callers) expire(hello *peerpb.Hello, gone *caller) {
+func (c *callers) expire(hello *peerpb.Hello, expired *caller) {
 	c.mu.Lock()
-	isCurrent := c.current[keyOf(hello)] == gone
+	isCurrent := c.current[keyOf(hello)] == expired
 	if isCurrent {
-		c.remove(gone)
+		c.remove(expired)
 	}
 	c.mu.Unlock()
 	if isCurrent {
--- a/pkg/peer/counters.go
+++ b/pkg/peer/counters.go
@@ -41,8 +41,8 @@
 	return []Class{ClassRecord, ClassCopy, ClassForward, ClassBorrow, ClassLend, ClassReturn, ClassSnapshot, ClassControl}
 }
 
-// Frames returns the number of frames sent. A frame counts for the class of its
-// first message only, so the ratio of messages to frames shows the batching.
+// Frames returns the number of frames sent, each counted for the class of its first
+// message. Batching lowers it.
 func (c *Counters) Frames(class Class) uint64 { return c.frames[class].Load() }
 
 // Bytes returns the bytes of those frames.
--- a/pkg/peer/link.go
+++ b/pkg/peer/link.go
@@ -55,7 +55,7 @@
 	counters *Counters
 	session  atomic.Pointer[session]
 	calls    atomic.Uint64 // number of the last call, over all sessions
-	number   atomic.Uint64 // increases each time that the link goes down
+	number   atomic.Uint64 // sent in the hello; increases each time that the link goes down
 	nudge    chan struct{} // requests an immediate heartbeat
 	cancel   context.CancelFunc
 }
--- a/pkg/peer/liveness.go
+++ b/pkg/peer/liveness.go
@@ -31,8 +31,8 @@
 		s.lastReceived.Store(int64(now))
 	}
 	w.lastCheck = now
-	silence := now - time.Duration(s.lastReceived.Load())
-	if silence <= time.Duration(probeFraction*float64(limit)) {
+	unresponsiveFor := now - time.Duration(s.lastReceived.Load())
+	if unresponsiveFor <= time.Duration(probeFraction*float64(limit)) {
 		w.probed = false
 		return false
 	}
@@ -40,10 +40,10 @@
 		w.startProbe(s)
 		return false
 	}
-	if silence <= limit || w.probe != nil {
+	if unresponsiveFor <= limit || w.probe != nil {
 		return false // the result of the probe comes soon
 	}
-	l.Log.Warn("peer_silent", "silence", silence.String())
+	l.Log.Warn("peer_silent", "silence", unresponsiveFor.String())
 	return true
 }
 
