--- a/pkg/peer/session_end_test.go
+++ b/pkg/peer/session_end_test.go
@@ -63,7 +63,7 @@
 		{Body: &peerpb.Message_Dispatch{}},
 		{Body: &peerpb.Message_Withdraw{}},
 		{Body: &peerpb.Message_Renew{}},
-		{Body: &peerpb.Message_Join{}}, // a later Join may end an earlier one
+		{Body: &peerpb.Message_Join{}}, // a Join with the wish LEAVE must follow its Join with the wish WAIT
 	}
 	for _, m := range messages {
 		c.Assert(s.pipeFor(m), qt.Equals, s.jobs)
